--- a/unittests/node/executor_test.cpp
+++ b/unittests/node/executor_test.cpp
@@ -84,23 +84,23 @@
     executor_test() { node_.set_upstream(local_upstream{"ledger", "http://127.0.0.1:1", 2, ""}); }
 
     /// Number of the call, whose result is kept under it.
-    int execute(call what = {}, std::uint64_t target = own_instance)
+    int execute(service_call call = {}, std::uint64_t target = own_instance)
     {
         const int number = ++last_call_;
-        what.service = "ledger";
-        what.priority = what.priority.empty() ? "read" : what.priority;
-        what.deadline = ms_clock::now() + milliseconds{60'000};
-        what.request_id = std::to_string(number);
-        node_.execute(target, std::move(what), [this, number](call_result result) {
+        call.service = "ledger";
+        call.priority = call.priority.empty() ? "read" : call.priority;
+        call.deadline = ms_clock::now() + milliseconds{60'000};
+        call.request_id = std::to_string(number);
+        node_.execute(target, std::move(call), [this, number](call_result result) {
             EXPECT_TRUE(results_.emplace(number, std::move(result)).second);
         });
         return number;
     }
 
-    reason why(int number) const
+    reason_code why(int number) const
     {
         const auto found = results_.find(number);
-        return found == results_.end() ? reason::internal : found->second.why;
+        return found == results_.end() ? reason_code::internal : found->second.reason;
     }
 
     fake_upstream upstream_;
@@ -125,7 +125,7 @@
     EXPECT_EQ(upstream_.pending.size(), 2U);
     upstream_.answer(3, 200);
     ASSERT_TRUE(results_.contains(queued));
-    EXPECT_EQ(results_[queued].outcome, outcome::completed);
+    EXPECT_EQ(results_[queued].outcome, call_outcome::completed);
     ASSERT_TRUE(results_[queued].load);
     EXPECT_EQ(results_[queued].load->in_flight, 1U);
 }
@@ -136,13 +136,13 @@
 {
     execute();
     execute();
-    call what;
-    what.cancel = std::make_shared<cancellation>();
-    const auto cancel = what.cancel;
-    const int queued = execute(what);
+    service_call call;
+    call.cancel = std::make_shared<cancellation>();
+    const auto cancel = call.cancel;
+    const int queued = execute(call);
     cancel->cancel();
-    EXPECT_EQ(results_.at(queued).outcome, outcome::not_run);
-    EXPECT_EQ(why(queued), reason::caller_gone);
+    EXPECT_EQ(results_.at(queued).outcome, call_outcome::not_run);
+    EXPECT_EQ(why(queued), reason_code::caller_gone);
     upstream_.answer(1, 200);
     upstream_.answer(2, 200);
     EXPECT_EQ(upstream_.requests.size(), 2U);
@@ -153,17 +153,17 @@
 // that is cancelled, whose outcome would become unknown.
 TEST_F(executor_test, cancels_a_running_call_only_without_a_key)
 {
-    call plain;
+    service_call plain;
     plain.cancel = std::make_shared<cancellation>();
-    call keyed = plain;
+    service_call keyed = plain;
     keyed.idempotency_key = make_key(1);
     const int first = execute(plain);
     const int second = execute(keyed);
     plain.cancel->cancel();
-    EXPECT_EQ(results_.at(first).outcome, outcome::unknown);
+    EXPECT_EQ(results_.at(first).outcome, call_outcome::unknown);
     EXPECT_FALSE(results_.contains(second));
     upstream_.answer(2, 200);
-    EXPECT_EQ(results_.at(second).outcome, outcome::completed);
+    EXPECT_EQ(results_.at(second).outcome, call_outcome::completed);
 }
 
 // Guards against a keyed call that runs after its key was fenced while it waited in the queue: the
@@ -172,7 +172,7 @@
 {
     execute();
     execute();
-    call keyed;
+    service_call keyed;
     keyed.idempotency_key = make_key(1);
     const int queued = execute(keyed);
     const auto settled = keys_.settle(keyed.idempotency_key, ms_clock::now());
@@ -181,23 +181,23 @@
     upstream_.answer(1, 200);
     upstream_.answer(2, 200);
     EXPECT_EQ(upstream_.requests.size(), 2U);
-    EXPECT_EQ(results_.at(queued).outcome, outcome::not_run);
+    EXPECT_EQ(results_.at(queued).outcome, call_outcome::not_run);
     EXPECT_TRUE(node_.idle());
 }
 
 // Guards against a second run of a key that is sent again while it waits or runs.
 TEST_F(executor_test, runs_a_repeated_key_once)
 {
-    call keyed;
+    service_call keyed;
     keyed.idempotency_key = make_key(1);
     const int first = execute(keyed);
     const int second = execute(keyed);
     EXPECT_EQ(upstream_.requests.size(), 1U);
     upstream_.answer(1, 200);
-    EXPECT_EQ(results_.at(first).outcome, outcome::completed);
-    EXPECT_EQ(results_.at(second).outcome, outcome::completed);
+    EXPECT_EQ(results_.at(first).outcome, call_outcome::completed);
+    EXPECT_EQ(results_.at(second).outcome, call_outcome::completed);
     const int late = execute(keyed);
-    EXPECT_EQ(results_.at(late).outcome, outcome::completed);
+    EXPECT_EQ(results_.at(late).outcome, call_outcome::completed);
     EXPECT_EQ(upstream_.requests.size(), 1U);
 }
 
@@ -206,11 +206,11 @@
 {
     execute();
     execute();
-    call what;
-    what.cancel = std::make_shared<cancellation>();
-    what.cancel->cancel();
-    const int late = execute(what);
-    EXPECT_EQ(why(late), reason::caller_gone);
+    service_call call;
+    call.cancel = std::make_shared<cancellation>();
+    call.cancel->cancel();
+    const int late = execute(call);
+    EXPECT_EQ(why(late), reason_code::caller_gone);
     EXPECT_EQ(upstream_.requests.size(), 2U);
 }
 
@@ -223,11 +223,11 @@
     executor node{own_instance, upstream_, stats_, keys_, [this] { return document_; }, names};
     node.set_upstream(local_upstream{"ledger", "http://127.0.0.1:1", 8, ""});
     const auto reject = [&](const char* load) {
-        call what;
-        what.service = "ledger";
-        what.priority = "read";
-        what.deadline = ms_clock::now() + milliseconds{60'000};
-        node.execute(own_instance, what, [](const auto&) {});
+        service_call call;
+        call.service = "ledger";
+        call.priority = "read";
+        call.deadline = ms_clock::now() + milliseconds{60'000};
+        node.execute(own_instance, call, [](const auto&) {});
         upstream_.answer(upstream_.last_id, 503, {{"Load", load}});
     };
     for (int i = 0; i < 20; ++i) {
@@ -245,11 +245,11 @@
     execute();
     const int queued = execute();
     node_.set_upstream(std::nullopt);
-    EXPECT_EQ(why(queued), reason::no_upstream);
+    EXPECT_EQ(why(queued), reason_code::no_upstream);
     EXPECT_FALSE(results_.contains(running));
-    EXPECT_EQ(why(execute()), reason::no_upstream);
+    EXPECT_EQ(why(execute()), reason_code::no_upstream);
     upstream_.answer(1, 200);
-    EXPECT_EQ(results_.at(running).outcome, outcome::completed);
+    EXPECT_EQ(results_.at(running).outcome, call_outcome::completed);
 }
 
 // Guards against a drain that drops queued calls or takes new ones.
@@ -259,12 +259,12 @@
     execute();
     const int queued = execute();
     node_.begin_drain();
-    EXPECT_EQ(why(execute()), reason::draining);
+    EXPECT_EQ(why(execute()), reason_code::draining);
     upstream_.answer(1, 200);
     upstream_.answer(2, 200);
     EXPECT_FALSE(node_.idle());
     upstream_.answer(3, 200);
-    EXPECT_EQ(results_.at(queued).outcome, outcome::completed);
+    EXPECT_EQ(results_.at(queued).outcome, call_outcome::completed);
     EXPECT_TRUE(node_.idle());
 }
 
@@ -272,20 +272,20 @@
 // an unknown class or a missing document.
 TEST_F(executor_test, refuses_with_reason_and_load)
 {
-    call other_class;
+    service_call other_class;
     other_class.priority = "none";
     const int unknown = execute(other_class);
-    EXPECT_EQ(why(unknown), reason::unknown_priority);
+    EXPECT_EQ(why(unknown), reason_code::unknown_priority);
     EXPECT_EQ(results_.at(unknown).load.value().limit, 2U);
-    EXPECT_EQ(why(execute({}, own_instance + 1)), reason::wrong_instance);
+    EXPECT_EQ(why(execute({}, own_instance + 1)), reason_code::wrong_instance);
     executor without{own_instance, upstream_, stats_, keys_, [] { return nullptr; }};
     without.set_upstream(local_upstream{"ledger", "http://127.0.0.1:1", 2, ""});
-    call what;
-    what.service = "ledger";
-    what.deadline = ms_clock::now() + milliseconds{60'000};
-    reason refused_for = reason::none;
-    without.execute(own_instance, what, [&](const call_result& got) { refused_for = got.why; });
-    EXPECT_EQ(refused_for, reason::no_configuration);
+    service_call call;
+    call.service = "ledger";
+    call.deadline = ms_clock::now() + milliseconds{60'000};
+    reason_code refused_for = reason_code::none;
+    without.execute(own_instance, call, [&](const call_result& got) { refused_for = got.reason; });
+    EXPECT_EQ(refused_for, reason_code::no_configuration);
 }
 
 // Guards against an upstream that sheds load and is still filled to its slots.
@@ -293,7 +293,7 @@
 {
     const int shed = execute();
     upstream_.answer(1, 503, {{std::string{header::not_run}, "true"}});
-    EXPECT_EQ(why(shed), reason::upstream_refused);
+    EXPECT_EQ(why(shed), reason_code::upstream_refused);
     EXPECT_EQ(results_.at(shed).load.value().limit, 1U);
     execute();
     execute();
@@ -304,9 +304,9 @@
 // got into its own calls, so the node has to count the step.
 TEST_F(executor_test, counts_the_depth_for_the_upstream)
 {
-    call what;
-    what.depth = 3;
-    execute(what);
+    service_call call;
+    call.depth = 3;
+    execute(call);
     ASSERT_EQ(upstream_.requests.size(), 1U);
     EXPECT_EQ(find_header(upstream_.requests.begin()->second.headers, header::depth), "4");
 }
@@ -335,18 +335,19 @@
         reporting_.set_upstream(local_upstream{"ledger", "http://127.0.0.1:1", 2, "i-1"});
     }
 
-    reason execute_movable(bool movable)
+    reason_code execute_movable(bool movable)
     {
-        call what;
-        what.service = "ledger";
-        what.priority = "read";
-        what.movable = movable;
-        what.repeat = repeatability::repeatable;
-        what.deadline = ms_clock::now() + milliseconds{60'000};
-        what.request_id = "r";
-        reason why = reason::internal;
-        reporting_.execute(own_instance, what, [&](const call_result& got) { why = got.why; });
-        return why;
+        service_call call;
+        call.service = "ledger";
+        call.priority = "read";
+        call.movable = movable;
+        call.repeat = repeatability::repeatable;
+        call.deadline = ms_clock::now() + milliseconds{60'000};
+        call.request_id = "r";
+        reason_code reason = reason_code::internal;
+        reporting_.execute(own_instance, call,
+                           [&](const call_result& got) { reason = got.reason; });
+        return reason;
     }
 
     executor reporting_{own_instance, upstream_, stats_, keys_, [this] { return document_; },
@@ -359,11 +360,11 @@
 {
     execute_movable(true);
     upstream_.answer(1, 200, {{"Load", "0,0,2,100"}});
-    EXPECT_NE(execute_movable(true), reason::upstream_slow);
+    EXPECT_NE(execute_movable(true), reason_code::upstream_slow);
     upstream_.answer(2, 200, {{"Load", "0,0,2,400"}});
-    EXPECT_EQ(execute_movable(true), reason::upstream_slow);
+    EXPECT_EQ(execute_movable(true), reason_code::upstream_slow);
     EXPECT_EQ(reporting_.report().pace, 4.0);
-    EXPECT_NE(execute_movable(false), reason::upstream_slow);
+    EXPECT_NE(execute_movable(false), reason_code::upstream_slow);
 }
 
 // Guards against a load header that cannot be read and is taken for a slow or a fast upstream.
--- a/unittests/node/operations_page_test.cpp
+++ b/unittests/node/operations_page_test.cpp
@@ -17,15 +17,15 @@
     const std::string page{std::istreambuf_iterator<char>{file}, {}};
     ASSERT_FALSE(page.empty());
     for (std::size_t i = 1; i < reason_count; ++i) {
-        const auto why = static_cast<reason>(i);
-        const auto row = page.find("\n| `" + std::string{to_string(why)} + "` | ");
-        ASSERT_NE(row, std::string::npos) << to_string(why);
+        const auto reason = static_cast<reason_code>(i);
+        const auto row = page.find("\n| `" + std::string{to_string(reason)} + "` | ");
+        ASSERT_NE(row, std::string::npos) << to_string(reason);
         const std::string line = page.substr(row + 1, page.find('\n', row + 1) - row - 1);
-        const auto lists = [&](outcome how) {
-            return line.find(std::to_string(status_of(how, why))) != std::string::npos;
+        const auto lists = [&](call_outcome outcome) {
+            return line.find(std::to_string(status_of(outcome, reason))) != std::string::npos;
         };
-        EXPECT_TRUE(why == reason::caller_gone || lists(outcome::not_run) ||
-                    lists(outcome::unknown))
+        EXPECT_TRUE(reason == reason_code::caller_gone || lists(call_outcome::not_run) ||
+                    lists(call_outcome::unknown))
             << line;
     }
 }
--- a/unittests/node/routed_call_test.cpp
+++ b/unittests/node/routed_call_test.cpp
@@ -39,34 +39,34 @@
         names_.retry_budget.clear();
     }
 
-    std::variant<call, refusal> parse(const std::string& target,
-                                      std::vector<http_header> headers = {})
+    std::variant<service_call, refusal> parse(const std::string& target,
+                                              std::vector<http_header> headers = {})
     {
         http_request request{"POST", target, std::move(headers), "body"};
         request.headers.push_back({"Host", "shop.example"});
         return parse_routed_call(request, &document_, names_, 0.0, now_);
     }
 
-    call parsed(const std::string& target, std::vector<http_header> headers = {})
+    service_call parsed(const std::string& target, std::vector<http_header> headers = {})
     {
         auto result = parse(target, std::move(headers));
-        EXPECT_TRUE(std::holds_alternative<call>(result));
-        return std::get<call>(std::move(result));
+        EXPECT_TRUE(std::holds_alternative<service_call>(result));
+        return std::get<service_call>(std::move(result));
     }
 
-    reason refused(const std::string& target, std::vector<http_header> headers = {})
+    reason_code refused(const std::string& target, std::vector<http_header> headers = {})
     {
         const auto result = parse(target, std::move(headers));
         const auto* why = std::get_if<refusal>(&result);
-        return why == nullptr ? reason::none : why->why;
+        return why == nullptr ? reason_code::none : why->reason;
     }
 
-    call_result judge(const call& what, int status, std::vector<http_header> headers)
+    call_result judge(const service_call& call, int status, std::vector<http_header> headers)
     {
-        headers.push_back({"request-id", what.request_id});
+        headers.push_back({"request-id", call.request_id});
         http_result result;
         result.response = {status, std::move(headers), "answer"};
-        return judge_upstream_response(what, std::move(result), names_);
+        return judge_upstream_response(call, std::move(result), names_);
     }
 
     document document_ = make_document();
@@ -78,7 +78,7 @@
 // the route that the caller's own deadline hides.
 TEST_F(routed_call, takes_its_terms_from_the_route)
 {
-    const call view = parsed("/view/1?q", {{"Request-Id", "r1"}, {"Deadline-Ms", "2500"}});
+    const service_call view = parsed("/view/1?q", {{"Request-Id", "r1"}, {"Deadline-Ms", "2500"}});
     EXPECT_EQ(view.service, "ledger");
     EXPECT_EQ(view.priority, class_of(document_.routes.front()));
     EXPECT_EQ(view.repeat, repeatability::repeatable);
@@ -86,25 +86,25 @@
     EXPECT_EQ(view.request_id, "r1");
     EXPECT_EQ(view.deadline, now_ + milliseconds{800});
     EXPECT_EQ(view.request.target, "/view/1?q");
-    const call pay = parsed("/pay/", {{"Deadline-Ms", "300"}});
+    const service_call pay = parsed("/pay/", {{"Deadline-Ms", "300"}});
     EXPECT_EQ(pay.repeat, repeatability::at_most_once);
     EXPECT_EQ(pay.deadline, now_ + milliseconds{300});
-    EXPECT_EQ(refused("/other/"), reason::unknown_route);
-    EXPECT_EQ(refused("/pay/", {{"Deadline-Ms", "soon"}}), reason::malformed_deadline);
+    EXPECT_EQ(refused("/other/"), reason_code::unknown_route);
+    EXPECT_EQ(refused("/pay/", {{"Deadline-Ms", "soon"}}), reason_code::malformed_deadline);
 }
 
 // Guards against headers of a caller that the upstream does not get, or gets although only the
 // system sets them.
 TEST_F(routed_call, forwards_all_but_the_systems_own_headers)
 {
-    const call what = parsed("/pay/1", {{"Request-Id", "r1"},
-                                        {"Idempotency-Key", "theirs"},
-                                        {"Caller-Service", "forged"},
-                                        {"Expect-Instance", "forged"},
-                                        {"Connection", "X-Hop"},
-                                        {"X-Hop", "1"},
-                                        {"X-Trace", "t"}});
-    const http_request sent = make_upstream_request(what, names_, "i-1");
+    const service_call call = parsed("/pay/1", {{"Request-Id", "r1"},
+                                                {"Idempotency-Key", "theirs"},
+                                                {"Caller-Service", "forged"},
+                                                {"Expect-Instance", "forged"},
+                                                {"Connection", "X-Hop"},
+                                                {"X-Hop", "1"},
+                                                {"X-Trace", "t"}});
+    const http_request sent = make_upstream_request(call, names_, "i-1");
     EXPECT_EQ(find_header(sent.headers, "host"), "shop.example");
     EXPECT_EQ(find_header(sent.headers, "Idempotency-Key"), "theirs");
     EXPECT_EQ(find_header(sent.headers, "X-Trace"), "t");
@@ -119,43 +119,47 @@
 // another request that is delivered.
 TEST_F(routed_call, tells_refusals_and_foreign_answers_from_runs)
 {
-    const call what = parsed("/pay/1", {{"Request-Id", "r1"}});
-    EXPECT_EQ(judge(what, 503, {{"Not-Executed", "1"}}).why, reason::upstream_refused);
-    EXPECT_EQ(judge(what, 429, {{"Not-Executed", "1"}}).outcome, outcome::not_run);
-    EXPECT_EQ(judge(what, 421, {}).why, reason::upstream_replaced);
-    EXPECT_EQ(judge(what, 503, {}).outcome, outcome::completed);
-    EXPECT_EQ(judge(what, 500, {}).outcome, outcome::completed);
-    call other = what;
+    const service_call call = parsed("/pay/1", {{"Request-Id", "r1"}});
+    EXPECT_EQ(judge(call, 503, {{"Not-Executed", "1"}}).reason, reason_code::upstream_refused);
+    EXPECT_EQ(judge(call, 429, {{"Not-Executed", "1"}}).outcome, call_outcome::not_run);
+    EXPECT_EQ(judge(call, 421, {}).reason, reason_code::upstream_replaced);
+    EXPECT_EQ(judge(call, 503, {}).outcome, call_outcome::completed);
+    EXPECT_EQ(judge(call, 500, {}).outcome, call_outcome::completed);
+    service_call other = call;
     other.request_id = "r2";
     http_result crossed;
     crossed.response = {200, {{"Request-Id", "r1"}}, "answer"};
-    EXPECT_EQ(judge_upstream_response(other, crossed, names_).outcome, outcome::unknown);
+    EXPECT_EQ(judge_upstream_response(other, crossed, names_).outcome, call_outcome::unknown);
 }
 
 // Guards against answers without a length that are dropped, and against cut ones that pass for
 // whole.
 TEST_F(routed_call, delivers_an_answer_that_ends_with_its_connection)
 {
-    const call what = parsed("/pay/1", {{"Request-Id", "r1"}});
+    const service_call call = parsed("/pay/1", {{"Request-Id", "r1"}});
     http_result ended;
     ended.error = http_error::unframed;
     ended.response = {200, {{"Request-Id", "r1"}}, "answer"};
-    EXPECT_EQ(judge_upstream_response(what, ended, names_).outcome, outcome::completed);
+    EXPECT_EQ(judge_upstream_response(call, ended, names_).outcome, call_outcome::completed);
     ended.error = http_error::truncated;
-    EXPECT_EQ(judge_upstream_response(what, ended, names_).outcome, outcome::unknown);
+    EXPECT_EQ(judge_upstream_response(call, ended, names_).outcome, call_outcome::unknown);
 }
 
 // Guards against a promise that nothing has run while it may have.
 TEST_F(routed_call, promises_only_what_is_known)
 {
-    EXPECT_EQ(make_routed_response(not_run(reason::deadline_exceeded), milliseconds{250}).status,
+    EXPECT_EQ(
+        make_routed_response(not_run(reason_code::deadline_exceeded), milliseconds{250}).status,
+        503);
+    EXPECT_EQ(make_routed_response(not_run(reason_code::queue_full), milliseconds{250}).status,
               503);
-    EXPECT_EQ(make_routed_response(not_run(reason::queue_full), milliseconds{250}).status, 503);
-    EXPECT_EQ(make_routed_response(unknown_outcome(reason::time_limit), milliseconds{250}).status,
-              504);
-    EXPECT_EQ(make_routed_response(unknown_outcome(reason::peer_connection_lost), milliseconds{250})
-                  .status,
-              502);
+    EXPECT_EQ(
+        make_routed_response(unknown_outcome(reason_code::time_limit), milliseconds{250}).status,
+        504);
+    EXPECT_EQ(
+        make_routed_response(unknown_outcome(reason_code::peer_connection_lost), milliseconds{250})
+            .status,
+        502);
 }
 
 } // namespace
--- a/unittests/node/routed_dispatch_test.cpp
+++ b/unittests/node/routed_dispatch_test.cpp
@@ -14,32 +14,32 @@
 protected:
     call_result run_routed(repeatability repeat)
     {
-        call what;
-        what.service = "ledger";
-        what.priority = "lookup";
-        what.deadline = now_ + milliseconds{1000};
-        what.retry_budget = 1;
-        what.repeat = repeat;
-        what.request_id = "attempt-1";
+        service_call call;
+        call.service = "ledger";
+        call.priority = "lookup";
+        call.deadline = now_ + milliseconds{1000};
+        call.retry_budget = 1;
+        call.repeat = repeat;
+        call.request_id = "attempt-1";
         std::optional<call_result> result;
-        dispatcher_->dispatch(what, [&result](call_result given) { result = std::move(given); });
+        dispatcher_->dispatch(call, [&result](call_result given) { result = std::move(given); });
         EXPECT_TRUE(result.has_value());
-        return result.value_or(unknown_outcome(reason::internal));
+        return result.value_or(unknown_outcome(reason_code::internal));
     }
 
     /// Refuses movable calls as a slow upstream does; the others get the answer.
     void be_slow_everywhere()
     {
         ON_CALL(peers_, execute(_, _, _))
-            .WillByDefault(
-                [this](const node_reference& target, const call& what, const call_done& done) {
-                    attempts_.push_back({target.instance, what.retry_budget, what.request_id});
-                    call_result refused = not_run(reason::upstream_slow);
-                    refused.load.emplace();
-                    refused.load->instance = target.instance;
-                    refused.load->upstream_registered = true;
-                    done(what.movable ? refused : answer(200));
-                });
+            .WillByDefault([this](const node_reference& target, const service_call& call,
+                                  const call_done& done) {
+                attempts_.push_back({target.instance, call.retry_budget, call.request_id});
+                call_result refused = not_run(reason_code::upstream_slow);
+                refused.load.emplace();
+                refused.load->instance = target.instance;
+                refused.load->upstream_registered = true;
+                done(call.movable ? refused : answer(200));
+            });
     }
 };
 
@@ -47,7 +47,7 @@
 TEST_F(routed_dispatch, waits_for_a_slow_upstream_when_all_are_slow)
 {
     be_slow_everywhere();
-    EXPECT_EQ(run_routed(repeatability::at_most_once).outcome, outcome::completed);
+    EXPECT_EQ(run_routed(repeatability::at_most_once).outcome, call_outcome::completed);
     EXPECT_EQ(attempts_.size(), 4U);
 }
 
@@ -57,17 +57,19 @@
     for (int i = 0; i < 100; ++i) {
         const std::size_t before = attempts_.size();
         answer_with([&, before](int attempt) {
-            return attempt == static_cast<int>(before) ? not_run(reason::queue_full) : answer(200);
+            return attempt == static_cast<int>(before) ? not_run(reason_code::queue_full)
+                                                       : answer(200);
         });
-        EXPECT_EQ(run_routed(repeatability::at_most_once).outcome, outcome::completed);
+        EXPECT_EQ(run_routed(repeatability::at_most_once).outcome, call_outcome::completed);
     }
 }
 
 // Guards against a request id that changes on its way, so that the upstream cannot tell a repeat.
 TEST_F(routed_dispatch, keeps_the_request_id_of_the_caller)
 {
-    answer_with(
-        [](int attempt) { return attempt == 0 ? not_run(reason::upstream_refused) : answer(200); });
+    answer_with([](int attempt) {
+        return attempt == 0 ? not_run(reason_code::upstream_refused) : answer(200);
+    });
     run_routed(repeatability::repeatable);
     ASSERT_EQ(attempts_.size(), 2U);
     EXPECT_EQ(attempts_[0].request_id, "attempt-1");
@@ -78,22 +80,23 @@
 TEST_F(routed_dispatch, answers_at_the_time_limit)
 {
     ON_CALL(peers_, execute(_, _, _)).WillByDefault([](const auto&, const auto&, const auto&) {});
-    call what;
-    what.service = "ledger";
-    what.priority = "lookup";
-    what.deadline = now_ + milliseconds{1000};
-    what.repeat = repeatability::at_most_once;
+    service_call call;
+    call.service = "ledger";
+    call.priority = "lookup";
+    call.deadline = now_ + milliseconds{1000};
+    call.repeat = repeatability::at_most_once;
     std::optional<call_result> result;
     call_done kept;
     ON_CALL(peers_, execute(_, _, _))
-        .WillByDefault(
-            [&kept](const node_reference&, const call&, const call_done& done) { kept = done; });
-    dispatcher_->dispatch(what, [&result](call_result given) { result = std::move(given); });
+        .WillByDefault([&kept](const node_reference&, const service_call&, const call_done& done) {
+            kept = done;
+        });
+    dispatcher_->dispatch(call, [&result](call_result given) { result = std::move(given); });
     ASSERT_FALSE(timers_.empty());
     timers_.front()();
     ASSERT_TRUE(result);
-    EXPECT_EQ(result->outcome, outcome::unknown);
-    EXPECT_EQ(result->why, reason::time_limit);
+    EXPECT_EQ(result->outcome, call_outcome::unknown);
+    EXPECT_EQ(result->reason, reason_code::time_limit);
     kept(answer(200));
 }
 
@@ -109,7 +112,7 @@
                 done(known);
             });
         answer_with([](int attempt) {
-            return attempt == 0 ? unknown_outcome(reason::peer_connection_lost) : answer(200);
+            return attempt == 0 ? unknown_outcome(reason_code::peer_connection_lost) : answer(200);
         });
         return run_routed(repeatability::at_most_once);
     }
@@ -119,8 +122,8 @@
 TEST_F(settled_dispatch, places_a_fenced_call_elsewhere)
 {
     const auto result =
-        run_with_lost_answer(settle_result{settle_state::fenced, {}, reason::key_fenced, {}});
-    EXPECT_EQ(result.outcome, outcome::completed);
+        run_with_lost_answer(settle_result{settle_state::fenced, {}, reason_code::key_fenced, {}});
+    EXPECT_EQ(result.outcome, call_outcome::completed);
     EXPECT_EQ(attempts_.size(), 2U);
 }
 
@@ -128,8 +131,8 @@
 TEST_F(settled_dispatch, delivers_the_answer_that_the_executor_kept)
 {
     const auto result = run_with_lost_answer(
-        settle_result{settle_state::completed, {201, {}, "kept"}, reason::none, {}});
-    EXPECT_EQ(result.outcome, outcome::completed);
+        settle_result{settle_state::completed, {201, {}, "kept"}, reason_code::none, {}});
+    EXPECT_EQ(result.outcome, call_outcome::completed);
     EXPECT_EQ(result.response.body, "kept");
     EXPECT_EQ(attempts_.size(), 1U);
 }
@@ -140,12 +143,12 @@
     for (const auto state :
          {settle_state::running, settle_state::unknown, settle_state::wrong_instance}) {
         attempts_.clear();
-        const auto result = run_with_lost_answer(settle_result{state, {}, reason::none, {}});
-        EXPECT_EQ(result.outcome, outcome::unknown);
+        const auto result = run_with_lost_answer(settle_result{state, {}, reason_code::none, {}});
+        EXPECT_EQ(result.outcome, call_outcome::unknown);
         EXPECT_EQ(attempts_.size(), 1U);
     }
     attempts_.clear();
-    EXPECT_EQ(run_with_lost_answer(absl::UnavailableError("gone")).outcome, outcome::unknown);
+    EXPECT_EQ(run_with_lost_answer(absl::UnavailableError("gone")).outcome, call_outcome::unknown);
 }
 
 } // namespace
--- a/unittests/replay/model_network.cpp
+++ b/unittests/replay/model_network.cpp
@@ -18,7 +18,7 @@
     return target.data_centre() == data_centre_ ? same_data_centre : between_data_centres_;
 }
 
-void model_network::execute(const node_reference& target, const call& what, call_done done)
+void model_network::execute(const node_reference& target, const service_call& call, call_done done)
 {
     model_member& member = find_(target.instance);
     const milliseconds delay = one_way(member);
@@ -29,16 +29,16 @@
             first(std::move(result));
         }
     };
-    const milliseconds left = std::max(milliseconds{0}, what.deadline - loop_.now());
-    loop_.after(left, [end] { end(unknown_outcome(reason::deadline_exceeded)); });
-    if (what.cancel) {
-        what.cancel->on_cancel([end] { end(unknown_outcome(reason::caller_gone)); });
+    const milliseconds left = std::max(milliseconds{0}, call.deadline - loop_.now());
+    loop_.after(left, [end] { end(unknown_outcome(reason_code::deadline_exceeded)); });
+    if (call.cancel) {
+        call.cancel->on_cancel([end] { end(unknown_outcome(reason_code::caller_gone)); });
     }
-    loop_.after(delay, [this, &member, what, delay, end] {
+    loop_.after(delay, [this, &member, call, delay, end] {
         if (member.silent) {
             return;
         }
-        member.execute(what, [this, &member, delay, end](call_result result) {
+        member.execute(call, [this, &member, delay, end](call_result result) {
             if (member.silent) {
                 return;
             }
--- a/unittests/replay/model_network.h
+++ b/unittests/replay/model_network.h
@@ -21,7 +21,7 @@
     model_member& operator=(const model_member&) = delete;
     virtual ~model_member() = default;
 
-    virtual void execute(const call& what, call_done done) = 0;
+    virtual void execute(const service_call& call, call_done done) = 0;
     virtual load_report report() const = 0;
 
     std::uint64_t instance() const { return instance_; }
@@ -48,10 +48,10 @@
     {
     }
 
-    void execute(const node_reference& target, const call& what, call_done done) override;
+    void execute(const node_reference& target, const service_call& call, call_done done) override;
     void probe(const node_reference& target, milliseconds timeout, probe_done done) override;
 
-    void forward(const node_reference& /*owner*/, const call& /*what*/, bool /*query_only*/,
+    void forward(const node_reference& /*owner*/, const service_call& /*call*/, bool /*query_only*/,
                  call_done /*done*/) override
     {
     }
--- a/unittests/replay/replay_member.cpp
+++ b/unittests/replay/replay_member.cpp
@@ -39,30 +39,30 @@
 {
 }
 
-bool replay_member::refuses(const call& what) const
+bool replay_member::refuses(const service_call& call) const
 {
-    return policies_.follow_pace && what.movable && pace_.slow(loop_.now());
+    return policies_.follow_pace && call.movable && pace_.slow(loop_.now());
 }
 
-void replay_member::execute(const call& what, call_done done)
+void replay_member::execute(const service_call& call, call_done done)
 {
     const auto offered = std::make_shared<execution>();
-    offered->what = what;
+    offered->call = call;
     offered->done = std::move(done);
-    if (refuses(what)) {
-        refuse(offered, reason::upstream_slow);
+    if (refuses(call)) {
+        refuse(offered, reason_code::upstream_slow);
         return;
     }
-    offered->priority = policies_.by_urgency ? queue_.find_priority(what.priority).value_or(0) : 0;
+    offered->priority = policies_.by_urgency ? queue_.find_priority(call.priority).value_or(0) : 0;
     const std::uint64_t id = ++last_id_;
-    const auto result = queue_.offer(id, offered->priority, what.deadline, loop_.now());
+    const auto result = queue_.offer(id, offered->priority, call.deadline, loop_.now());
     if (result.result == offer_state::refused) {
-        refuse(offered, result.why);
+        refuse(offered, result.reason);
         return;
     }
     executions_[id] = offered;
-    if (what.cancel && policies_.cancel_abandoned) {
-        what.cancel->on_cancel([this, id] { cancel(id); });
+    if (call.cancel && policies_.cancel_abandoned) {
+        call.cancel->on_cancel([this, id] { cancel(id); });
     }
     if (result.result == offer_state::admitted) {
         start(id);
@@ -132,7 +132,7 @@
     std::lognormal_distribution<double> spread{-work_sigma * work_sigma / 2, work_sigma};
     const double full = std::max(0.0, busy_ - knee * slots) / ((1.0 - knee) * slots);
     const double cold = loop_.now() < warm_at ? cold_factor : 1.0;
-    const double usual = std::strtod(what.what.request.body.c_str(), nullptr);
+    const double usual = std::strtod(what.call.request.body.c_str(), nullptr);
     return milliseconds{usual * spread(random_) * pace * slowdown * cold *
                         (1.0 + (factor_when_full - 1.0) * full)};
 }
@@ -153,14 +153,14 @@
     const milliseconds elapsed = loop_.now() - found->second->started_at;
     call_result result;
     if (status == status_rejected) {
-        result = not_run(reason::upstream_refused);
+        result = not_run(reason_code::upstream_refused);
         const bool has_room = busy_ < slots;
         const bool counts = policies_.adaptive_limit && (!has_room || !policies_.spare_free_slots);
         finish(id, {counts ? sample_kind::shed : sample_kind::uninformative, elapsed}, result);
         return;
     }
-    result.outcome = outcome::completed;
-    result.why = reason::none;
+    result.outcome = call_outcome::completed;
+    result.reason = reason_code::none;
     result.response.status = status;
     const bool informs = policies_.adaptive_limit && status < status_error;
     finish(id, {informs ? sample_kind::completed : sample_kind::uninformative, elapsed}, result);
@@ -194,9 +194,9 @@
     take_decisions();
 }
 
-void replay_member::refuse(const execution_ptr& refused, reason why) const
+void replay_member::refuse(const execution_ptr& refused, reason_code reason) const
 {
-    call_result result = not_run(why);
+    call_result result = not_run(reason);
     result.load = report();
     refused->done(std::move(result));
 }
--- a/unittests/replay/replay_member.h
+++ b/unittests/replay/replay_member.h
@@ -37,7 +37,7 @@
     replay_member(event_loop& loop, std::uint64_t instance, std::size_t data_centre,
                   const service_config& service, const policies& chosen, std::uint64_t seed);
 
-    void execute(const call& what, call_done done) override;
+    void execute(const service_call& call, call_done done) override;
     load_report report() const override;
 
     /// Refuses all further calls, as at a planned stop.
@@ -63,7 +63,7 @@
 
 private:
     struct execution {
-        call what;
+        service_call call;
         call_done done;
         std::size_t priority = 0;
         bool started = false;
@@ -73,7 +73,7 @@
     };
     using execution_ptr = std::shared_ptr<execution>;
 
-    bool refuses(const call& what) const;
+    bool refuses(const service_call& call) const;
     void offer(std::uint64_t id, const execution_ptr& offered);
     void take_decisions();
     void watch_expiry();
@@ -81,7 +81,7 @@
     void answer(std::uint64_t id, int status);
     void finish(std::uint64_t id, const upstream_sample& sample, call_result result);
     void cancel(std::uint64_t id);
-    void refuse(const execution_ptr& refused, reason why) const;
+    void refuse(const execution_ptr& refused, reason_code reason) const;
     milliseconds work(const execution& what);
     double roll();
 
--- a/unittests/replay/replay_model.cpp
+++ b/unittests/replay/replay_model.cpp
@@ -164,7 +164,7 @@
 void model::send(const caller_ptr& who)
 {
     const kind& what = world_.kinds[who->kind];
-    call request;
+    service_call request;
     request.service = service_.name;
     request.priority = what.name;
     request.repeat = repeatability::repeatable;
@@ -187,7 +187,7 @@
     const milliseconds elapsed = loop_.now() - who->begun;
     const milliseconds held = loop_.now() - who->sent;
     who->held += held;
-    if (result.outcome == outcome::not_run && who->returns < world_.returns) {
+    if (result.outcome == call_outcome::not_run && who->returns < world_.returns) {
         std::uniform_real_distribution<double> position{0.0, 1.0};
         milliseconds pause =
             policies_.return_in_target ? return_time(what.target, position(random_)) : fixed_return;
@@ -205,12 +205,12 @@
         return;
     }
     kind_result& sums = results_[who->kind];
-    if (result.outcome == outcome::completed && result.response.status == status_ok) {
+    if (result.outcome == call_outcome::completed && result.response.status == status_ok) {
         ++(elapsed <= what.target ? sums.in_target : sums.late);
         return;
     }
     sums.held_ms += who->held.count();
-    if (result.outcome == outcome::not_run) {
+    if (result.outcome == call_outcome::not_run) {
         ++(held <= what.target * at_once_share ? sums.refused_at_once : sums.refused_after_waiting);
         return;
     }
--- a/unittests/support/metrics_test.cpp
+++ b/unittests/support/metrics_test.cpp
@@ -9,7 +9,7 @@
 TEST(metrics, renders_every_reason_and_histogram)
 {
     metrics all;
-    all.count(reason_event::refused, reason::queue_full);
+    all.count(reason_event::refused, reason_code::queue_full);
     all.call_latency("ledger", "urgent").record(milliseconds{1.5});
     const auto text = all.render();
     EXPECT_NE(text.find("chestnutstand_refusals_total{reason=\"queue_full\"} 1\n"),
--- a/unittests/transport/http_server_test.cpp
+++ b/unittests/transport/http_server_test.cpp
@@ -291,7 +291,7 @@
 TEST_F(http_server_test, uses_the_given_form_of_refusals)
 {
     options_.refuse = [](const request_refusal& why) {
-        return http_response{why.status, {}, "refused as " + std::string{to_string(why.why)}};
+        return http_response{why.status, {}, "refused as " + std::string{to_string(why.reason)}};
     };
     start();
     const auto received = answer_and_close("nonsense\r\n\r\n");
--- a/unittests/transport/node_server_test.cpp
+++ b/unittests/transport/node_server_test.cpp
@@ -23,25 +23,25 @@
 /// Answers with the request id, or keeps the calls when told to.
 class recording_handler final : public node_handler {
 public:
-    void execute(std::uint64_t target_instance, call what, call_done done) override
+    void execute(std::uint64_t target_instance, service_call call, call_done done) override
     {
         const std::lock_guard lock{mutex_};
         ++executed_;
-        cancel_ = what.cancel;
+        cancel_ = call.cancel;
         if (hold_) {
             held_.push_back(std::move(done));
             return;
         }
         if (target_instance != instance) {
-            done(not_run(reason::wrong_instance));
+            done(not_run(reason_code::wrong_instance));
             return;
         }
-        done({outcome::completed, reason::none, {200, {}, what.request_id}, {}});
+        done({call_outcome::completed, reason_code::none, {200, {}, call.request_id}, {}});
     }
 
-    void forward(std::uint64_t, call, bool, call_done done) override
+    void forward(std::uint64_t, service_call, bool, call_done done) override
     {
-        done(not_run(reason::stale_key));
+        done(not_run(reason_code::stale_key));
     }
     absl::StatusOr<settle_result> settle(std::uint64_t, const std::string& key) override
     {
@@ -75,7 +75,7 @@
     {
         const std::lock_guard lock{mutex_};
         for (const auto& done : held_) {
-            done(not_run(reason::draining));
+            done(not_run(reason_code::draining));
         }
         held_.clear();
     }
@@ -88,22 +88,22 @@
     std::vector<call_done> held_;
 };
 
-call make_call(milliseconds timeout = milliseconds{10'000})
+service_call make_call(milliseconds timeout = milliseconds{10'000})
 {
-    call what;
-    what.service = "alpha";
-    what.deadline = ms_clock::now() + timeout;
-    what.request_id = "id-1";
-    what.request = {"GET", "/", {}, ""};
-    what.cancel = std::make_shared<cancellation>();
-    return what;
+    service_call call;
+    call.service = "alpha";
+    call.deadline = ms_clock::now() + timeout;
+    call.request_id = "id-1";
+    call.request = {"GET", "/", {}, ""};
+    call.cancel = std::make_shared<cancellation>();
+    return call;
 }
 
 std::future<call_result> execute(peer_client& client, const node_reference& target,
-                                 const call& what)
+                                 const service_call& call)
 {
     auto ended = std::make_shared<std::promise<call_result>>();
-    client.execute(target, what, [ended](const call_result& result) { ended->set_value(result); });
+    client.execute(target, call, [ended](const call_result& result) { ended->set_value(result); });
     return ended->get_future();
 }
 
@@ -136,11 +136,11 @@
 TEST_F(node_server_test, carries_call_and_reply)
 {
     const auto result = execute(*client_, target(), make_call()).get();
-    EXPECT_EQ(result.outcome, outcome::completed);
+    EXPECT_EQ(result.outcome, call_outcome::completed);
     EXPECT_EQ(result.response.body, "id-1");
     auto other = target();
     other.instance = instance + 1;
-    EXPECT_EQ(execute(*client_, other, make_call()).get().why, reason::wrong_instance);
+    EXPECT_EQ(execute(*client_, other, make_call()).get().reason, reason_code::wrong_instance);
 }
 
 // Guards against an unknown outcome for a call that no peer can have received.
@@ -150,8 +150,8 @@
     const node_reference nobody{99, "127.0.0.1", gone.port()};
     gone.close();
     const auto result = execute(*client_, nobody, make_call()).get();
-    EXPECT_EQ(result.outcome, outcome::not_run);
-    EXPECT_EQ(result.why, reason::peer_unreachable);
+    EXPECT_EQ(result.outcome, call_outcome::not_run);
+    EXPECT_EQ(result.reason, reason_code::peer_unreachable);
 }
 
 // Guards against not-run for a call whose connection broke after it was sent.
@@ -168,8 +168,8 @@
     }};
     const auto result = execute(*client_, broken, make_call(milliseconds{2'000})).get();
     peer.join();
-    EXPECT_EQ(result.outcome, outcome::unknown);
-    EXPECT_EQ(result.why, reason::peer_connection_lost);
+    EXPECT_EQ(result.outcome, call_outcome::unknown);
+    EXPECT_EQ(result.reason, reason_code::peer_connection_lost);
 }
 
 // Guards against not-run for a call that a stopping peer has cancelled in the middle.
@@ -182,19 +182,19 @@
     const auto result = ended.get();
     handler_.release();
     stop.join();
-    EXPECT_EQ(result.outcome, outcome::unknown);
+    EXPECT_EQ(result.outcome, call_outcome::unknown);
 }
 
 // Guards against work that goes on for a call that nobody waits for.
 TEST_F(node_server_test, cancellation_reaches_the_peer)
 {
     handler_.hold();
-    const auto what = make_call();
-    auto ended = execute(*client_, target(), what);
+    const auto call = make_call();
+    auto ended = execute(*client_, target(), call);
     ASSERT_TRUE(eventually([&] { return handler_.cancel() != nullptr; }));
-    what.cancel->cancel();
+    call.cancel->cancel();
     EXPECT_TRUE(eventually([&] { return handler_.cancel()->cancelled(); }));
-    EXPECT_EQ(ended.get().outcome, outcome::unknown);
+    EXPECT_EQ(ended.get().outcome, call_outcome::unknown);
 }
 
 // Guards against a call that waits for ever for a silent peer, and a late reply that reaches
@@ -203,11 +203,11 @@
 {
     handler_.hold();
     auto first = execute(*client_, target(), make_call(milliseconds{50}));
-    EXPECT_EQ(first.get().outcome, outcome::unknown);
+    EXPECT_EQ(first.get().outcome, call_outcome::unknown);
     auto second = execute(*client_, target(), make_call());
     ASSERT_TRUE(eventually([&] { return handler_.executed() == 2; }));
     handler_.release();
-    EXPECT_EQ(second.get().why, reason::draining);
+    EXPECT_EQ(second.get().reason, reason_code::draining);
 }
 
 } // namespace
