--- a/include/chestnutstand/node/executor.h
+++ b/include/chestnutstand/node/executor.h
@@ -22,58 +22,65 @@
 
 namespace chestnutstand {
 
-/// The upstream that registered at this node.
+/// Upstream registered with this node.
 struct local_upstream {
     std::string service;
     /// http://ip:port
     std::string base_url;
     std::uint32_t slots = 0;
-    /// Names the process of the upstream; empty when it has not said.
+    /// Identifies the upstream process; empty when the upstream registered without an id.
     std::string id;
 
     friend bool operator==(const local_upstream&, const local_upstream&) = default;
 };
 
-/// Runs calls on the upstream beside this node, as the admission queue permits, and measures the
-/// upstream within its probe budget. Nothing else sends requests to the upstream. Must outlive its
-/// running calls.
+/// Runs calls on the local upstream as the admission queue permits, and measures the upstream with
+/// probes within the configured budget.
+///
+/// The pace of an upstream is the factor by which its work currently takes longer than usual; 1 is
+/// the usual time. See upstream_pace.
+///
+/// Only the executor sends calls to the upstream. Must outlive its running calls.
 class executor {
 public:
-    /// The document in force, or null.
+    /// Returns the active configuration document, or null when there is none yet.
     using configuration_source = std::function<std::shared_ptr<const document>()>;
 
     executor(std::uint64_t instance, http_client& client, metrics& stats, executor_keys& keys,
              configuration_source configuration, header_names names = {});
 
-    /// Sets or removes the upstream; calls that run on the old one go on, queued ones are refused
-    /// when the upstream has gone or serves another service.
+    /// Sets or removes the upstream. Calls that run on the previous upstream continue; queued calls
+    /// are refused when the upstream was removed or its service changed.
     void set_upstream(std::optional<local_upstream> upstream);
     std::optional<local_upstream> upstream() const;
 
-    /// Refuses all further calls; queued ones still run.
+    /// Refuses new calls from now on; queued calls still run.
     void begin_drain();
 
-    /// The callback runs exactly once, on any thread, possibly before the method returns.
+    /// Runs or refuses a call. The callback is invoked exactly once, on any thread, possibly before
+    /// this method returns.
     void execute(std::uint64_t target_instance, service_call call, const call_done& done);
 
-    /// Refuses queued calls whose time has passed and sends a probe when one is due; to be called
-    /// every few milliseconds.
+    /// Refuses queued calls whose deadline or queue timeout has passed, and sends a probe when one
+    /// is due. To be called every few tens of milliseconds.
     void poll(time_point now);
 
     load_report report() const;
 
-    /// State of a call that runs at most once, by its request id; fences it unless it has started.
+    /// Returns the state of an at-most-once call by its request id, and fences the id if the call
+    /// has not started.
     settle_result settle_attempt(const std::string& request_id);
 
+    /// Whether no call is queued, running or waiting for the pace.
     bool idle() const;
 
 private:
-    /// A call from its admission to its end.
-    struct execution {
+    /// A call from its admission to its completion.
+    struct call_execution {
         std::uint64_t id = 0;
         service_call call;
         call_done done;
-        /// Set for a keyed call, whose callbacks are kept with the key.
+        /// Set for a call with an idempotency key; executor_keys then holds the callbacks.
         std::optional<key_id> key;
         std::string base_url;
         std::string upstream_id;
@@ -83,7 +90,7 @@
         bool cancelled = false;
         std::optional<http_client::request_id> request;
     };
-    using execution_ptr = std::shared_ptr<execution>;
+    using call_execution_ptr = std::shared_ptr<call_execution>;
 
     struct refused_call {
         call_done done;
@@ -99,44 +106,54 @@
         call_done done;
     };
 
-    /// What has to be done after the mutex is released, as it runs callbacks or sends.
-    struct follow_up {
-        std::vector<execution_ptr> starts;
+    /// Actions collected under the mutex that must run after it is released, because they send
+    /// requests or invoke callbacks.
+    struct deferred_actions {
+        std::vector<call_execution_ptr> to_send;
         std::vector<refused_call> refusals;
-        /// Newly admitted call, whose cancellation is to be followed.
-        execution_ptr admitted;
+        /// Newly admitted call whose cancellation must be observed.
+        call_execution_ptr admitted;
     };
 
+    // Methods that take deferred_actions by reference require the mutex to be held.
+
+    /// Applies the active document, and the upstream's service, to the queue and the prober.
     void apply_configuration(time_point now);
+    /// Number of the upstream's slots that this node may use at once.
     std::uint32_t usable_slots() const;
-    std::optional<reason_code> refusal(std::uint64_t target_instance, const service_call& call,
-                                       time_point now) const;
+    std::optional<reason_code> refusal_reason(std::uint64_t target_instance,
+                                              const service_call& call, time_point now) const;
+    /// Offers a call to the queue, after a pace probe if the pace is not known.
     void offer(std::uint64_t target_instance, service_call call, const std::optional<key_id>& key,
                const call_done& done, time_point now);
     std::optional<std::size_t> find_class(const service_call& call) const;
-    void admit(execution_ptr what, time_point now, follow_up& next);
-    void take_decisions(time_point now, follow_up& next);
-    bool commit_to_start(execution& what);
-    void start(const execution_ptr& what, time_point now, follow_up& next);
-    void forget_attempt(const execution& what);
-    void refuse_waiting(reason_code reason, follow_up& next);
-    void run(follow_up next);
-    void send(const execution_ptr& what);
-    void cancel(const execution_ptr& what);
-    void finish(const execution_ptr& what, http_result result);
+    void admit(call_execution_ptr execution, time_point now, deferred_actions& deferred);
+    void apply_queue_decisions(time_point now, deferred_actions& deferred);
+    /// Returns false when the key or the request id of the call is fenced.
+    bool try_mark_started(call_execution& execution);
+    void start(const call_execution_ptr& execution, time_point now, deferred_actions& deferred);
+    void discard_attempt(const call_execution& execution);
+    void refuse_queued(reason_code reason, deferred_actions& deferred);
+    void run_deferred(deferred_actions deferred);
+    void send(const call_execution_ptr& execution);
+    void cancel(const call_execution_ptr& execution);
+    void finish(const call_execution_ptr& execution, http_result upstream_result);
     load_report report_locked() const;
-    void log_execution(const execution& what, const call_result& ended, time_point now) const;
+    void log_execution(const call_execution& execution, const call_result& result,
+                       time_point now) const;
     static void log_refusal(const refused_call& refused);
     void observe_pace(const http_result& result, time_point now);
-    void refresh_pace(time_point now);
-    /// Whether a call should wait for a report of the upstream's pace.
-    bool needs_fresh_pace(const service_call& call, time_point now);
+    /// Probes a slow upstream whose last pace report is old.
+    void probe_stale_pace(time_point now);
+    /// Whether a call should wait for a pace probe. Takes a token of the probe budget if that
+    /// starts a new probe.
+    bool should_wait_for_pace(const service_call& call, time_point now);
+    /// Path at which the upstream reports its load; empty when none is configured.
     std::string health_path() const;
-    void ask_pace(const std::string& base_url, const std::string& path);
-    void offer_with_known_pace(std::uint64_t target_instance, service_call call,
-                               const std::optional<key_id>& key, const call_done& done,
-                               time_point now);
-    void follow_pace(time_point now);
+    void probe_pace(const std::string& base_url, const std::string& path);
+    void offer_to_queue(std::uint64_t target_instance, service_call call,
+                        const std::optional<key_id>& key, const call_done& done, time_point now);
+    void update_queue_pace(time_point now);
 
     const std::uint64_t instance_;
     http_client& client_;
@@ -149,17 +166,17 @@
     std::optional<local_upstream> upstream_;
     std::shared_ptr<const document> applied_;
     std::string applied_service_;
-    /// Kept while the upstream is away, as calls may still run on it.
+    /// Kept when the upstream is removed, because calls may still run on it.
     std::optional<admission_queue> queue_;
-    std::unordered_map<std::uint64_t, execution_ptr> executions_;
+    std::unordered_map<std::uint64_t, call_execution_ptr> executions_;
     std::uint64_t last_id_ = 0;
     attempt_ledger attempts_;
     upstream_pace pace_;
-    bool probing_pace_ = false;
-    /// Calls that wait until the upstream has told its pace.
+    bool pace_probe_running_ = false;
+    /// Calls that wait for the running pace probe.
     std::vector<waiting_call> waiting_for_pace_;
-    token_bucket pace_probes_;
-    time_point no_pace_until_;
+    token_bucket pace_probe_budget_;
+    time_point pace_probes_paused_until_;
     bool draining_ = false;
 };
 
--- a/lib/node/executor.cpp
+++ b/lib/node/executor.cpp
@@ -12,17 +12,18 @@
 namespace chestnutstand {
 namespace {
 
-/// A quarter of what the platforms allow, so that probes never are a load of their own.
+/// A quarter of the rate that the platforms allow, so that probes add no noticeable load.
 constexpr double pace_probes_per_s = 15.0;
 constexpr double pace_probe_burst = 5.0;
-/// Fills the bucket at the start, when the pace of the upstream is not known.
-constexpr milliseconds pace_probe_head_start{1'000};
+/// Age of the token bucket at construction: it starts full, because the pace of the upstream is
+/// still unknown then.
+constexpr milliseconds pace_probe_prefill_time{1'000};
 constexpr int status_too_many_requests = 429;
 constexpr int status_server_error = 500;
 constexpr int status_service_unavailable = 503;
 
-/// An upstream can reject requests while it has free slots. Such a rejection says nothing about the
-/// number of requests that it can run.
+/// Whether the upstream rejected the request although it reports a free slot. Such a rejection says
+/// nothing about the number of requests that the upstream can run.
 bool rejected_with_free_slots(const http_response& response, const header_names& names)
 {
     const auto header = find_header(response.headers, names.upstream_load);
@@ -30,7 +31,8 @@
     return load && load->has_free_slot();
 }
 
-/// What the result says about the load of the upstream.
+/// Converts a result to a sample for the concurrency limit; an empty sample if the result says
+/// nothing about the load of the upstream.
 upstream_sample make_sample(const http_result& result, const header_names& names)
 {
     if (result.error == http_error::timed_out) {
@@ -46,7 +48,7 @@
         }
         return {sample_kind::shed, result.elapsed};
     }
-    // An upstream that fails fast would seem to have become quick.
+    // Counting errors would make an upstream that fails fast look faster.
     if (status >= status_server_error) {
         return {};
     }
@@ -58,7 +60,7 @@
     return call.repeat == repeatability::at_most_once;
 }
 
-call_result refused(reason_code reason, load_report load)
+call_result refusal_result(reason_code reason, load_report load)
 {
     auto result = not_run(reason);
     result.load = std::move(load);
@@ -72,29 +74,30 @@
     : instance_{instance}, client_{client}, stats_{stats}, keys_{keys},
       configuration_{std::move(configuration)}, names_{std::move(names)}, prober_{client, 0.0,
                                                                                   ms_clock::now()},
-      pace_probes_{pace_probes_per_s, pace_probe_burst, ms_clock::now() - pace_probe_head_start}
+      pace_probe_budget_{pace_probes_per_s, pace_probe_burst,
+                         ms_clock::now() - pace_probe_prefill_time}
 {
 }
 
 void executor::set_upstream(std::optional<local_upstream> upstream)
 {
     const auto now = ms_clock::now();
-    follow_up next;
+    deferred_actions deferred;
     {
         const std::lock_guard lock{mutex_};
-        const bool other_service =
+        const bool service_changed =
             !upstream || !upstream_ || upstream->service != upstream_->service;
-        if (other_service) {
-            refuse_waiting(reason_code::no_upstream, next);
+        if (service_changed) {
+            refuse_queued(reason_code::no_upstream, deferred);
         }
         upstream_ = std::move(upstream);
         if (upstream_ && queue_) {
             queue_->set_slots(usable_slots());
         }
         apply_configuration(now);
-        take_decisions(now, next);
+        apply_queue_decisions(now, deferred);
     }
-    run(std::move(next));
+    run_deferred(std::move(deferred));
 }
 
 std::optional<local_upstream> executor::upstream() const
@@ -112,7 +115,6 @@
     }
 }
 
-/// Follows the document and the service of the upstream.
 void executor::apply_configuration(time_point now)
 {
     const auto current = configuration_();
@@ -135,7 +137,6 @@
     }
 }
 
-/// Slots of the upstream that are used at once.
 std::uint32_t executor::usable_slots() const
 {
     const auto* service = applied_ ? applied_->find_service(upstream_->service) : nullptr;
@@ -143,8 +144,8 @@
     return std::max(1U, static_cast<std::uint32_t>(std::floor(share * upstream_->slots)));
 }
 
-std::optional<reason_code> executor::refusal(std::uint64_t target_instance,
-                                             const service_call& call, time_point now) const
+std::optional<reason_code> executor::refusal_reason(std::uint64_t target_instance,
+                                                    const service_call& call, time_point now) const
 {
     if (target_instance != instance_) {
         return reason_code::wrong_instance;
@@ -170,8 +171,8 @@
     return std::nullopt;
 }
 
-/// The sender may follow a newer or older document, whose routes make other classes. Its call then
-/// waits with another class of its rank.
+// The sender may use a newer or older document, whose routes define other priority classes. Its
+// call is then queued in another class of the same rank.
 std::optional<std::size_t> executor::find_class(const service_call& call) const
 {
     const auto found = queue_->find_priority(call.priority);
@@ -191,7 +192,7 @@
     }
     if (target_instance != instance_) {
         stats_.count(reason_event::refused, reason_code::wrong_instance);
-        done(refused(reason_code::wrong_instance, report()));
+        done(refusal_result(reason_code::wrong_instance, report()));
         return;
     }
     auto decision =
@@ -205,109 +206,110 @@
     }
 }
 
-void executor::offer_with_known_pace(std::uint64_t target_instance, service_call call,
-                                     const std::optional<key_id>& key, const call_done& done,
-                                     time_point now)
+void executor::offer_to_queue(std::uint64_t target_instance, service_call call,
+                              const std::optional<key_id>& key, const call_done& done,
+                              time_point now)
 {
-    follow_up next;
+    deferred_actions deferred;
     {
         const std::lock_guard lock{mutex_};
         apply_configuration(now);
-        if (const auto reason = refusal(target_instance, call, now)) {
-            next.refusals.push_back({done, key, *reason, report_locked(), call.request_id});
+        if (const auto reason = refusal_reason(target_instance, call, now)) {
+            deferred.refusals.push_back({done, key, *reason, report_locked(), call.request_id});
         }
         else {
-            auto offered = std::make_shared<execution>();
-            offered->id = ++last_id_;
-            offered->offered_at = now;
-            offered->call = std::move(call);
-            offered->done = done;
-            offered->key = key;
-            admit(std::move(offered), now, next);
+            auto execution = std::make_shared<call_execution>();
+            execution->id = ++last_id_;
+            execution->offered_at = now;
+            execution->call = std::move(call);
+            execution->done = done;
+            execution->key = key;
+            admit(std::move(execution), now, deferred);
         }
     }
-    run(std::move(next));
+    run_deferred(std::move(deferred));
 }
 
-void executor::admit(execution_ptr what, time_point now, follow_up& next)
+void executor::admit(call_execution_ptr execution, time_point now, deferred_actions& deferred)
 {
-    const auto priority = find_class(what->call).value();
-    const bool once = runs_at_most_once(what->call);
-    if (once && !attempts_.admit(what->call.request_id, now)) {
-        next.refusals.push_back({what->done, what->key, reason_code::key_running, report_locked(),
-                                 what->call.request_id});
+    const auto priority = find_class(execution->call).value();
+    const bool at_most_once = runs_at_most_once(execution->call);
+    if (at_most_once && !attempts_.admit(execution->call.request_id, now)) {
+        deferred.refusals.push_back({execution->done, execution->key, reason_code::key_running,
+                                     report_locked(), execution->call.request_id});
         return;
     }
-    const auto offered = queue_->offer(what->id, priority, what->call.deadline, now);
+    const auto offered = queue_->offer(execution->id, priority, execution->call.deadline, now);
     if (offered.result == offer_state::refused) {
-        forget_attempt(*what);
-        next.refusals.push_back(
-            {what->done, what->key, offered.reason, report_locked(), what->call.request_id});
+        discard_attempt(*execution);
+        deferred.refusals.push_back({execution->done, execution->key, offered.reason,
+                                     report_locked(), execution->call.request_id});
         return;
     }
-    executions_[what->id] = what;
+    executions_[execution->id] = execution;
     if (offered.result == offer_state::admitted) {
-        start(what, now, next);
+        start(execution, now, deferred);
     }
-    take_decisions(now, next);
-    next.admitted = std::move(what);
+    apply_queue_decisions(now, deferred);
+    deferred.admitted = std::move(execution);
 }
 
-void executor::take_decisions(time_point now, follow_up& next)
+void executor::apply_queue_decisions(time_point now, deferred_actions& deferred)
 {
     if (!queue_) {
         return;
     }
     while (const auto decision = queue_->next(now)) {
         const auto found = executions_.find(decision->id);
-        const auto what = found->second;
+        const auto execution = found->second;
         if (decision->starts()) {
-            start(what, now, next);
+            start(execution, now, deferred);
             continue;
         }
         executions_.erase(found);
-        forget_attempt(*what);
-        next.refusals.push_back(
-            {what->done, what->key, decision->refusal, report_locked(), what->call.request_id});
+        discard_attempt(*execution);
+        deferred.refusals.push_back({execution->done, execution->key, decision->refusal,
+                                     report_locked(), execution->call.request_id});
     }
 }
 
-void executor::start(const execution_ptr& what, time_point now, follow_up& next)
+void executor::start(const call_execution_ptr& execution, time_point now,
+                     deferred_actions& deferred)
 {
-    if (commit_to_start(*what)) {
-        next.starts.push_back(what);
+    if (try_mark_started(*execution)) {
+        deferred.to_send.push_back(execution);
         return;
     }
-    queue_->finish(what->id, {}, now);
-    executions_.erase(what->id);
-    if (runs_at_most_once(what->call)) {
-        next.refusals.push_back({what->done, what->key, reason_code::key_fenced, report_locked(),
-                                 what->call.request_id});
+    queue_->finish(execution->id, {}, now);
+    executions_.erase(execution->id);
+    if (runs_at_most_once(execution->call)) {
+        deferred.refusals.push_back({execution->done, execution->key, reason_code::key_fenced,
+                                     report_locked(), execution->call.request_id});
     }
 }
 
-/// The last check before a call is sent to the upstream, in the critical section that makes it a
-/// started one; after this it can no longer be refused. False when its key or its id was fenced;
-/// the fence of a key has answered the call.
-bool executor::commit_to_start(execution& what)
+// The last check before a call is sent to the upstream. It runs in the critical section that marks
+// the call as started; a started call can no longer be refused. The fencing of a key has already
+// completed the call, the fencing of a request id has not.
+bool executor::try_mark_started(call_execution& execution)
 {
-    if (what.key && !keys_.start(*what.key)) {
+    if (execution.key && !keys_.start(*execution.key)) {
         return false;
     }
-    if (runs_at_most_once(what.call) && !attempts_.start(what.call.request_id)) {
+    if (runs_at_most_once(execution.call) && !attempts_.start(execution.call.request_id)) {
         return false;
     }
-    what.base_url = upstream_->base_url;
-    what.upstream_id = upstream_->id;
-    what.started = true;
-    what.started_at = ms_clock::now();
+    execution.base_url = upstream_->base_url;
+    execution.upstream_id = upstream_->id;
+    execution.started = true;
+    execution.started_at = ms_clock::now();
     return true;
 }
 
-void executor::forget_attempt(const execution& what)
+void executor::discard_attempt(const call_execution& execution)
 {
-    if (runs_at_most_once(what.call)) {
-        attempts_.refuse(what.call.request_id);
+    if (runs_at_most_once(execution.call)) {
+        attempts_.refuse(execution.call.request_id);
     }
 }
 
@@ -326,143 +328,147 @@
     return settled;
 }
 
-void executor::refuse_waiting(reason_code reason, follow_up& next)
+void executor::refuse_queued(reason_code reason, deferred_actions& deferred)
 {
-    for (auto at = executions_.begin(); at != executions_.end();) {
-        const auto& what = *at->second;
-        if (what.started || !queue_->remove(what.id)) {
-            ++at;
+    for (auto it = executions_.begin(); it != executions_.end();) {
+        const auto& execution = *it->second;
+        if (execution.started || !queue_->remove(execution.id)) {
+            ++it;
             continue;
         }
-        forget_attempt(what);
-        next.refusals.push_back(
-            {what.done, what.key, reason, report_locked(), what.call.request_id});
-        at = executions_.erase(at);
+        discard_attempt(execution);
+        deferred.refusals.push_back(
+            {execution.done, execution.key, reason, report_locked(), execution.call.request_id});
+        it = executions_.erase(it);
     }
 }
 
-void executor::run(follow_up next)
+void executor::run_deferred(deferred_actions deferred)
 {
-    for (const auto& each : next.starts) {
-        send(each);
-    }
-    for (auto& each : next.refusals) {
-        stats_.count(reason_event::refused, each.reason);
-        log_refusal(each);
-        if (each.key) {
-            keys_.refuse(*each.key, each.reason, ms_clock::now());
+    for (const auto& execution : deferred.to_send) {
+        send(execution);
+    }
+    for (auto& refusal : deferred.refusals) {
+        stats_.count(reason_event::refused, refusal.reason);
+        log_refusal(refusal);
+        if (refusal.key) {
+            keys_.refuse(*refusal.key, refusal.reason, ms_clock::now());
             continue;
         }
-        auto answer = refused(each.reason, std::move(each.load));
-        if (each.reason == reason_code::key_running) {
-            // Another copy of the call is or was here, or a settlement has answered it.
-            answer.outcome = call_outcome::unknown;
+        auto result = refusal_result(refusal.reason, std::move(refusal.load));
+        if (refusal.reason == reason_code::key_running) {
+            // Another copy of the call has run or may run here, or the request id was settled.
+            result.outcome = call_outcome::unknown;
         }
-        each.done(std::move(answer));
+        refusal.done(std::move(result));
     }
-    // A keyed call goes on without its caller: others may wait for the same key.
-    if (next.admitted && !next.admitted->key && next.admitted->call.cancel) {
-        next.admitted->call.cancel->on_cancel([this, admitted = std::weak_ptr{next.admitted}] {
-            if (const auto what = admitted.lock()) {
-                cancel(what);
-            }
-        });
+    // A keyed call continues without its caller, because other callers may wait for the same key.
+    if (deferred.admitted && !deferred.admitted->key && deferred.admitted->call.cancel) {
+        deferred.admitted->call.cancel->on_cancel(
+            [this, admitted = std::weak_ptr{deferred.admitted}] {
+                if (const auto execution = admitted.lock()) {
+                    cancel(execution);
+                }
+            });
     }
 }
 
-void executor::send(const execution_ptr& what)
+void executor::send(const call_execution_ptr& execution)
 {
-    const auto timeout = upstream_timeout(what->call, ms_clock::now());
+    const auto timeout = upstream_timeout(execution->call, ms_clock::now());
     const auto request = client_.send(
-        what->base_url, make_upstream_request(what->call, names_, what->upstream_id), timeout,
-        [this, what](http_result result) { finish(what, std::move(result)); });
+        execution->base_url, make_upstream_request(execution->call, names_, execution->upstream_id),
+        timeout, [this, execution](http_result result) { finish(execution, std::move(result)); });
     bool cancelled = false;
     {
         const std::lock_guard lock{mutex_};
-        what->request = request;
-        cancelled = what->cancelled;
+        execution->request = request;
+        cancelled = execution->cancelled;
     }
     if (cancelled) {
         client_.cancel(request);
     }
 }
 
-/// A queued call is taken out; a started one is cancelled at the upstream.
-void executor::cancel(const execution_ptr& what)
+// Removes a queued call; cancels the request of a started one.
+void executor::cancel(const call_execution_ptr& execution)
 {
-    follow_up next;
+    deferred_actions deferred;
     std::optional<http_client::request_id> running;
     {
         const std::lock_guard lock{mutex_};
-        if (!what->started) {
-            if (executions_.erase(what->id) > 0) {
-                queue_->remove(what->id);
-                forget_attempt(*what);
-                next.refusals.push_back({what->done, what->key, reason_code::caller_gone,
-                                         report_locked(), what->call.request_id});
+        if (!execution->started) {
+            if (executions_.erase(execution->id) > 0) {
+                queue_->remove(execution->id);
+                discard_attempt(*execution);
+                deferred.refusals.push_back({execution->done, execution->key,
+                                             reason_code::caller_gone, report_locked(),
+                                             execution->call.request_id});
             }
         }
         else {
-            what->cancelled = true;
-            running = what->request;
+            execution->cancelled = true;
+            running = execution->request;
         }
     }
     if (running) {
         client_.cancel(*running);
     }
-    run(std::move(next));
+    run_deferred(std::move(deferred));
 }
 
-void executor::finish(const execution_ptr& what, http_result result)
+void executor::finish(const call_execution_ptr& execution, http_result upstream_result)
 {
     const auto now = ms_clock::now();
-    const auto sample = make_sample(result, names_);
-    observe_pace(result, now);
-    call_result ended = classify_upstream_response(what->call, std::move(result), names_);
-    follow_up next;
+    const auto sample = make_sample(upstream_result, names_);
+    observe_pace(upstream_result, now);
+    call_result result =
+        classify_upstream_response(execution->call, std::move(upstream_result), names_);
+    deferred_actions deferred;
     {
         const std::lock_guard lock{mutex_};
-        executions_.erase(what->id);
-        if (runs_at_most_once(what->call)) {
-            attempts_.finish(what->call.request_id, ended, now);
+        executions_.erase(execution->id);
+        if (runs_at_most_once(execution->call)) {
+            attempts_.finish(execution->call.request_id, result, now);
         }
-        queue_->finish(what->id, sample, now);
-        take_decisions(now, next);
-        ended.load = report_locked();
-    }
-    // The next call starts first: the slot is free, and the answer may take time to be written.
-    run(std::move(next));
-    if (ended.outcome == call_outcome::not_run) {
-        stats_.count(reason_event::refused, ended.reason);
-    }
-    if (ended.outcome == call_outcome::unknown) {
-        stats_.count(reason_event::unknown_outcome, ended.reason);
-    }
-    log_execution(*what, ended, now);
-    if (what->key) {
-        keys_.finish(*what->key, std::move(ended), now);
+        queue_->finish(execution->id, sample, now);
+        apply_queue_decisions(now, deferred);
+        result.load = report_locked();
+    }
+    // Start the next call before reporting the upstream_result: the slot is free, and writing the
+    // response may take time.
+    run_deferred(std::move(deferred));
+    if (result.outcome == call_outcome::not_run) {
+        stats_.count(reason_event::refused, result.reason);
+    }
+    if (result.outcome == call_outcome::unknown) {
+        stats_.count(reason_event::unknown_outcome, result.reason);
+    }
+    log_execution(*execution, result, now);
+    if (execution->key) {
+        keys_.finish(*execution->key, std::move(result), now);
         return;
     }
-    what->done(std::move(ended));
+    execution->done(std::move(result));
 }
 
 void executor::poll(time_point now)
 {
-    follow_up next;
+    deferred_actions deferred;
     std::optional<std::string> probe_url;
     {
         const std::lock_guard lock{mutex_};
         apply_configuration(now);
-        follow_pace(now);
-        take_decisions(now, next);
+        update_queue_pace(now);
+        apply_queue_decisions(now, deferred);
         if (upstream_ && !draining_) {
             probe_url = upstream_->base_url;
         }
     }
-    run(std::move(next));
+    run_deferred(std::move(deferred));
     if (probe_url) {
         prober_.poll(*probe_url, now);
-        refresh_pace(now);
+        probe_stale_pace(now);
     }
 }
 
--- a/lib/node/executor_log.cpp
+++ b/lib/node/executor_log.cpp
@@ -1,25 +1,26 @@
-// The log lines of the executor, one for each call that it executed or refused.
+// Log lines of the executor: one for each executed or refused call.
 
 #include "chestnutstand/node/executor.h"
 #include "chestnutstand/support/log.h"
 
 namespace chestnutstand {
 
-void executor::log_execution(const execution& what, const call_result& ended, time_point now) const
+void executor::log_execution(const call_execution& execution, const call_result& result,
+                             time_point now) const
 {
-    const bool completed = ended.outcome == call_outcome::completed;
+    const bool completed = result.outcome == call_outcome::completed;
     log_event(log_level::info, "call executed",
-              {{"request_id", what.call.request_id},
-               {"upstream", what.upstream_id},
-               {"class", what.call.priority},
-               {"outcome", std::string{to_string(ended.outcome)}},
-               {"reason", std::string{to_string(ended.reason)}},
-               {"status", std::int64_t{completed ? ended.response.status : 0}},
-               {"waited_ms", (what.started_at - what.offered_at).count()},
-               {"run_ms", (now - what.started_at).count()},
-               {"in_flight", std::uint64_t{ended.load ? ended.load->in_flight : 0}},
-               {"limit", std::uint64_t{ended.load ? ended.load->limit : 0}},
-               {"pace", ended.load ? ended.load->pace : 1.0}});
+              {{"request_id", execution.call.request_id},
+               {"upstream", execution.upstream_id},
+               {"class", execution.call.priority},
+               {"outcome", std::string{to_string(result.outcome)}},
+               {"reason", std::string{to_string(result.reason)}},
+               {"status", std::int64_t{completed ? result.response.status : 0}},
+               {"waited_ms", (execution.started_at - execution.offered_at).count()},
+               {"run_ms", (now - execution.started_at).count()},
+               {"in_flight", std::uint64_t{result.load ? result.load->in_flight : 0}},
+               {"limit", std::uint64_t{result.load ? result.load->limit : 0}},
+               {"pace", result.load ? result.load->pace : 1.0}});
 }
 
 void executor::log_refusal(const refused_call& refused)
