--- a/lib/node/upstream_exchange.cpp
+++ b/lib/node/upstream_exchange.cpp
@@ -10,13 +10,13 @@
 namespace chestnutstand {
 namespace {
 
-constexpr milliseconds keyed_run_limit{30'000};
-/// Lets the upstream's own answer at its deadline arrive.
-constexpr milliseconds answer_grace{100};
+constexpr milliseconds min_keyed_timeout{30'000};
+/// Leaves time for a response that the upstream sends at the deadline.
+constexpr milliseconds response_grace{100};
 constexpr int status_misdirected = 421;
 constexpr int first_error_status = 400;
 
-/// Adds a header unless it has no name in this deployment.
+/// Adds a header unless its name is not configured in this deployment.
 void add_header(http_request& request, const std::string& name, std::string value)
 {
     if (!name.empty()) {
@@ -24,7 +24,7 @@
     }
 }
 
-reason_code reason_of(http_error error)
+reason_code reason_for(http_error error)
 {
     switch (error) {
     case http_error::timed_out:
@@ -46,7 +46,7 @@
     return reason_code::upstream_connection_lost;
 }
 
-bool refused_before_start(const http_response& response, const header_names& names)
+bool is_refused_before_start(const http_response& response, const header_names& names)
 {
     if (response.status < first_error_status) {
         return false;
@@ -55,7 +55,7 @@
     return not_run && *not_run != "false" && *not_run != "0";
 }
 
-bool is_for_another_process(const http_response& response, const header_names& names)
+bool is_misdirected(const http_response& response, const header_names& names)
 {
     return response.status == status_misdirected && !names.upstream_id.empty();
 }
@@ -67,14 +67,14 @@
 {
     http_request request = call.request;
     remove_hop_by_hop_headers(request.headers);
-    const auto left = std::max(call.deadline - ms_clock::now(), milliseconds{1});
+    const auto remaining = std::max(call.deadline - ms_clock::now(), milliseconds{1});
     const auto timeout =
-        call.idempotency_key.empty() ? left : upstream_timeout(call, ms_clock::now());
+        call.idempotency_key.empty() ? remaining : upstream_timeout(call, ms_clock::now());
     add_header(request, names.request_id, call.request_id);
     request.echoed_header = names.request_id;
     add_header(request, names.priority, call.priority);
     add_header(request, names.timeout_ms, std::to_string(std::lround(timeout.count())));
-    // The upstream copies the depth into its own calls, which are one step deeper.
+    // The upstream copies the depth into its own calls, which are one level deeper.
     add_header(request, names.depth, std::to_string(call.depth + 1));
     add_header(request, names.retry_budget, std::to_string(call.retry_budget));
     if (!upstream_id.empty()) {
@@ -82,7 +82,7 @@
     }
     if (!call.idempotency_key.empty()) {
         add_header(request, names.idempotency_key, call.idempotency_key);
-        // A request lost in a silent pooled connection would end in an unknown outcome.
+        // A request lost on a dead pooled connection would have an unknown outcome.
         request.fresh_connection = true;
     }
     return request;
@@ -90,11 +90,11 @@
 
 milliseconds upstream_timeout(const service_call& call, time_point now)
 {
-    milliseconds left = std::max(call.deadline - now, milliseconds{1});
+    milliseconds remaining = std::max(call.deadline - now, milliseconds{1});
     if (call.repeat != repeatability::by_class) {
-        left += answer_grace;
+        remaining += response_grace;
     }
-    return call.idempotency_key.empty() ? left : std::max(left, keyed_run_limit);
+    return call.idempotency_key.empty() ? remaining : std::max(remaining, min_keyed_timeout);
 }
 
 call_result classify_upstream_response(const service_call& call, http_result result,
@@ -103,19 +103,20 @@
     if (result.error == http_error::connect_failed) {
         return not_run(reason_code::upstream_unreachable);
     }
-    // The end of the connection ends such an answer; one that was reset is reported as truncated.
-    const bool ended_by_close =
+    // The close of the connection delimits such a response; after a reset the transport reports it
+    // as truncated.
+    const bool delimited_by_close =
         result.error == http_error::unframed && call.repeat != repeatability::by_class;
-    if (result.error != http_error::none && !ended_by_close) {
-        return unknown_outcome(reason_of(result.error));
+    if (result.error != http_error::none && !delimited_by_close) {
+        return unknown_outcome(reason_for(result.error));
     }
     if (find_header(result.response.headers, names.request_id) != call.request_id) {
         return unknown_outcome(reason_code::upstream_answer_mismatched);
     }
-    if (is_for_another_process(result.response, names)) {
+    if (is_misdirected(result.response, names)) {
         return not_run(reason_code::upstream_replaced);
     }
-    if (refused_before_start(result.response, names)) {
+    if (is_refused_before_start(result.response, names)) {
         return not_run(reason_code::upstream_refused);
     }
     remove_hop_by_hop_headers(result.response.headers);
