--- a/include/chestnutstand/node/upstream_registry.h
+++ b/include/chestnutstand/node/upstream_registry.h
@@ -20,50 +20,55 @@
 struct upstream_heartbeat {
     local_upstream upstream;
     upstream_state state = upstream_state::ready;
-    /// Grows with each heartbeat of one process; 0 when the upstream does not count.
+    /// Increases with each heartbeat of one process; 0 when the upstream sends no sequence numbers.
     std::uint64_t sequence = 0;
     /// Unix time in milliseconds at which the process started; 0 when unknown.
     std::uint64_t born_ms = 0;
-    /// How much longer the process is slow after its start.
-    milliseconds cold_left{0};
+    /// Remaining warm-up time, during which a newly started process is slow.
+    milliseconds warmup_left{0};
 };
 
-enum class heartbeat_verdict : std::uint8_t {
+enum class heartbeat_result : std::uint8_t {
     accepted,
-    outdated, ///< Late, or of a process before the one that is known.
+    outdated, ///< Arrived out of order, or comes from an older process than the newest known one.
 };
 
-/// Lease of the upstream beside this node. An upstream that has said that it leaves is not admitted
-/// again until another process starts. Used on the control thread only.
+/// Holds the registration of the local upstream and its lease. An upstream process that has
+/// deregistered or reported that it drains is not admitted again; a newer process is. Used on the
+/// control thread only.
 class upstream_registry {
 public:
     using listener = std::function<void(const std::optional<local_upstream>&)>;
 
-    /// Asks an upstream whether it is healthy and stays; ends with a call of confirm() if so.
+    /// Checks asynchronously that an upstream is healthy and not about to leave; calls confirm() if
+    /// so.
     using verifier = std::function<void(const local_upstream& upstream, std::uint64_t born_ms)>;
 
-    /// The listener runs when an upstream appears, changes or goes.
+    /// The listener runs when the upstream is admitted, changes or is withdrawn.
     explicit upstream_registry(listener changed);
 
-    /// Upstream processes that were born before this time (Unix, milliseconds) may have told an
-    /// earlier process of this node that they leave, and a late heartbeat may contradict that. They
-    /// are admitted once they confirm, or once several heartbeats in a row say that they are ready.
+    /// An upstream process that started before this time (Unix, milliseconds) may have deregistered
+    /// from an earlier process of this node, and a delayed heartbeat of it may arrive afterwards.
+    /// Such a process is admitted only when it is confirmed or has sent several ready heartbeats in
+    /// a row.
     void verify_born_before(std::uint64_t unix_ms, verifier verify);
 
-    /// The process has answered that it is healthy and stays.
+    /// Admits the process, which has responded that it is healthy and not about to leave. No effect
+    /// unless it is the newest known process and has not left.
     void confirm(const std::string& id, std::uint64_t born_ms, time_point now);
 
-    /// Registers the upstream or renews its lease. When it returns after a heartbeat that says
-    /// draining, the listener has withdrawn the upstream.
-    heartbeat_verdict announce(const upstream_heartbeat& heartbeat, time_point now);
+    /// Registers the upstream or renews its lease. A draining heartbeat withdraws the upstream: the
+    /// listener has run when this method returns.
+    heartbeat_result announce(const upstream_heartbeat& heartbeat, time_point now);
 
-    /// Registers an upstream that says nothing about its process.
+    /// Registers an upstream that reports no process id, start time or state.
     void announce(local_upstream upstream, time_point now);
 
-    /// The process with the id leaves, whether it was heard of before or not; born_ms is 0 when its
-    /// start is not known.
+    /// Records that the process with the id leaves, even if it is not known yet. born_ms is its
+    /// start time, or 0 when that is not known.
     void leave(const std::string& id, std::uint64_t born_ms, std::uint64_t unix_now_ms);
 
+    /// Removes the current upstream, if any, without recording that its process has left.
     void withdraw();
 
     /// Withdraws the upstream when its lease has expired.
@@ -72,7 +77,8 @@
     const std::optional<local_upstream>& current() const { return current_; }
 
 private:
-    /// A process that has left; every process with the id that was born until then counts as it.
+    /// A process that has left. Applies to all processes with the id that started at or before
+    /// born_until_ms.
     struct departure {
         std::string id;
         std::uint64_t born_until_ms = 0;
@@ -85,18 +91,18 @@
     listener changed_;
     std::optional<local_upstream> current_;
     time_point lease_end_;
-    /// The newest process that was heard of.
+    /// Id, start time and last sequence number of the newest known process.
     std::string id_;
     std::uint64_t born_ms_ = 0;
     std::uint64_t sequence_ = 0;
     std::deque<departure> departures_;
     std::uint64_t verify_before_ms_ = 0;
     verifier verify_;
-    /// Ready heartbeats of the newest process while it is not confirmed.
-    std::uint32_t unconfirmed_ = 0;
+    /// Ready heartbeats that the newest process has sent while it was not confirmed.
+    std::uint32_t unconfirmed_heartbeats_ = 0;
     bool confirmed_ = false;
-    /// What it registered with last.
-    local_upstream candidate_;
+    /// Upstream in the last ready heartbeat of the newest process while it was not confirmed.
+    local_upstream unconfirmed_upstream_;
 };
 
 } // namespace chestnutstand
--- a/lib/node/admin_api.cpp
+++ b/lib/node/admin_api.cpp
@@ -39,14 +39,14 @@
     return json_response(status, json{{"error", message}});
 }
 
-/// The parsed body, or a discarded value when it is not a JSON object.
+/// Returns the parsed body, or a discarded value when it is not a JSON object.
 json parse_object(const std::string& body)
 {
     json parsed = json::parse(body, nullptr, /*allow_exceptions=*/false);
     return parsed.is_object() ? parsed : json(json::value_t::discarded);
 }
 
-std::optional<std::string> text_member(const json& object, const char* key)
+std::optional<std::string> string_field(const json& object, const char* key)
 {
     const auto found = object.find(key);
     if (found == object.end() || !found->is_string()) {
@@ -55,7 +55,7 @@
     return found->get<std::string>();
 }
 
-std::optional<std::uint64_t> number_member(const json& object, const char* key)
+std::optional<std::uint64_t> unsigned_field(const json& object, const char* key)
 {
     const auto found = object.find(key);
     if (found == object.end() || !found->is_number_unsigned()) {
@@ -70,9 +70,9 @@
     if (parsed.is_discarded()) {
         return std::nullopt;
     }
-    const auto service = text_member(parsed, "service");
-    const auto address = text_member(parsed, "address");
-    const auto slots = number_member(parsed, "slots");
+    const auto service = string_field(parsed, "service");
+    const auto address = string_field(parsed, "address");
+    const auto slots = unsigned_field(parsed, "slots");
     if (!service || service->empty() || !address || !slots || *slots == 0 || *slots > max_slots) {
         return std::nullopt;
     }
@@ -84,8 +84,8 @@
     return target.substr(upstreams_prefix.size(), target.find('?') - upstreams_prefix.size());
 }
 
-/// Reads PUT /upstreams/{id}. A service other than the one of this VM's upstream, when that is
-/// known, can only come from somebody else.
+/// Parses PUT /upstreams/{id}. own_service is the service of this VM's upstream, or empty when that
+/// is not configured; a heartbeat for another service comes from another upstream and is an error.
 absl::StatusOr<upstream_heartbeat> read_heartbeat(const http_request& request,
                                                   const std::string& own_service)
 {
@@ -94,9 +94,9 @@
         return absl::InvalidArgumentError("expected service, address and slots");
     }
     const json parsed = parse_object(request.body);
-    const auto state = text_member(parsed, "state").value_or("");
-    const auto known_state = upstream_state_names.find(state);
-    if (!known_state) {
+    const auto state = string_field(parsed, "state").value_or("");
+    const auto parsed_state = upstream_state_names.find(state);
+    if (!parsed_state) {
         return absl::InvalidArgumentError("expected state ready or draining, found " + state);
     }
     if (!own_service.empty() && upstream->service != own_service) {
@@ -106,9 +106,9 @@
     upstream_heartbeat heartbeat;
     heartbeat.upstream = *upstream;
     heartbeat.upstream.id = upstream_id_of(request.target);
-    heartbeat.state = *known_state;
-    const auto sequence = number_member(parsed, "sequence");
-    const auto born = number_member(parsed, "born");
+    heartbeat.state = *parsed_state;
+    const auto sequence = unsigned_field(parsed, "sequence");
+    const auto born = unsigned_field(parsed, "born");
     if (heartbeat.upstream.id.empty() || !sequence || !born) {
         return absl::InvalidArgumentError("expected an id, sequence and born");
     }
@@ -116,20 +116,20 @@
     heartbeat.born_ms = *born;
     const auto cold = parsed.find("cold_ms");
     if (cold != parsed.end() && cold->is_number()) {
-        heartbeat.cold_left = milliseconds{std::max(0.0, cold->get<double>())};
+        heartbeat.warmup_left = milliseconds{std::max(0.0, cold->get<double>())};
     }
     return heartbeat;
 }
 
-json describe(const member& each)
+json describe(const member& node_member)
 {
-    return {{"instance", absl::StrCat(absl::Hex(each.node.instance))},
-            {"address", each.node.address},
-            {"node_port", each.node.node_port},
-            {"data_centre", each.data_centre},
-            {"service", each.service},
-            {"state", liveness_names.name(each.state)},
-            {"draining", each.draining}};
+    return {{"instance", absl::StrCat(absl::Hex(node_member.node.instance))},
+            {"address", node_member.node.address},
+            {"node_port", node_member.node.node_port},
+            {"data_centre", node_member.data_centre},
+            {"service", node_member.service},
+            {"state", liveness_names.name(node_member.state)},
+            {"draining", node_member.draining}};
 }
 
 json describe(const load_report& load)
@@ -161,12 +161,12 @@
 void admin_api::handle_registration(const http_request& request,
                                     const std::shared_ptr<responder>& response)
 {
-    const bool upstream = request.target.rfind(upstreams_prefix, 0) == 0;
-    if (upstream && request.method == "PUT") {
-        take_heartbeat(request, response);
+    const bool is_upstream_target = request.target.rfind(upstreams_prefix, 0) == 0;
+    if (is_upstream_target && request.method == "PUT") {
+        handle_heartbeat(request, response);
     }
-    else if (upstream && request.method == "DELETE") {
-        take_departure(request, response);
+    else if (is_upstream_target && request.method == "DELETE") {
+        handle_departure(request, response);
     }
     else {
         response->send(error_response(404, "no such endpoint"));
@@ -209,7 +209,8 @@
     }
 }
 
-// A node without a document could only refuse the calls that a 200 attracts.
+// A node without a configuration document reports that it is not ready, because it would refuse
+// every call that it receives.
 void admin_api::health(responder& response)
 {
     const bool draining = node_.draining();
@@ -218,8 +219,8 @@
     response.send(json_response(ready ? 200 : 503, {{"status", status}}));
 }
 
-void admin_api::take_heartbeat(const http_request& request,
-                               const std::shared_ptr<responder>& response)
+void admin_api::handle_heartbeat(const http_request& request,
+                                 const std::shared_ptr<responder>& response)
 {
     auto heartbeat = read_heartbeat(request, node_.config().origin_service);
     if (!heartbeat.ok()) {
@@ -230,19 +231,19 @@
         return;
     }
     node_.control().post([this, response, heartbeat = *std::move(heartbeat)] {
-        const auto verdict = node_.get<upstream_registry>().announce(heartbeat, ms_clock::now());
-        // Also an outdated heartbeat is answered with success: the sender has nothing to repeat.
+        const auto result = node_.get<upstream_registry>().announce(heartbeat, ms_clock::now());
+        // An outdated heartbeat gets a success response too, because the sender must not retry it.
         response->send(json_response(
-            200, {{"status", verdict == heartbeat_verdict::accepted ? "registered" : "outdated"}}));
+            200, {{"status", result == heartbeat_result::accepted ? "registered" : "outdated"}}));
     });
 }
 
-void admin_api::take_departure(const http_request& request,
-                               const std::shared_ptr<responder>& response)
+void admin_api::handle_departure(const http_request& request,
+                                 const std::shared_ptr<responder>& response)
 {
     const std::string id = upstream_id_of(request.target);
     const json parsed = parse_object(request.body);
-    const auto born = parsed.is_discarded() ? std::nullopt : number_member(parsed, "born");
+    const auto born = parsed.is_discarded() ? std::nullopt : unsigned_field(parsed, "born");
     node_.control().post([this, response, id, born] {
         node_.get<upstream_registry>().leave(id, born.value_or(0), unix_now_ms());
         response->send(json_response(200, {{"status", "deregistered"}}));
@@ -301,8 +302,8 @@
                     {"admin", own_ports.admin},
                     {"node", own_ports.node},
                     {"gossip", own_ports.gossip}}}};
-        const auto in_force = node_.get<configuration>().current().load();
-        body["config_version"] = in_force ? json(in_force->version) : json(nullptr);
+        const auto active_document = node_.get<configuration>().current().load();
+        body["config_version"] = active_document ? json(active_document->version) : json(nullptr);
         const auto upstream = node_.get<executor>().upstream();
         body["upstream"] = upstream ? json{{"service", upstream->service},
                                            {"url", upstream->base_url},
@@ -314,8 +315,8 @@
             body["routes"][service] = members.size();
         }
         body["members"] = json::array();
-        for (const auto& each : node_.get<membership>().members()) {
-            body["members"].push_back(describe(each));
+        for (const auto& node_member : node_.get<membership>().members()) {
+            body["members"].push_back(describe(node_member));
         }
         response->send(json_response(200, body));
     });
@@ -325,17 +326,18 @@
 {
     auto* service = node_.find<config_service>();
     if (service == nullptr) {
-        response->send(error_response(404, "the document is not a log of changes"));
+        response->send(
+            error_response(404, "this node does not read its configuration from a change log"));
         return;
     }
     node_.control().post([service, response] {
         const config_state state = service->state();
         json sections = json::array();
-        for (const auto& each : state.sections) {
-            sections.push_back({{"section", each.name},
-                                {"owner", each.owner},
-                                {"version", each.version},
-                                {"content", each.content}});
+        for (const auto& section : state.sections) {
+            sections.push_back({{"section", section.name},
+                                {"owner", section.owner},
+                                {"version", section.version},
+                                {"content", section.content}});
         }
         response->send(
             json_response(200, {{"version", state.version}, {"sections", std::move(sections)}}));
@@ -346,11 +348,11 @@
                                const std::shared_ptr<responder>& response)
 {
     const json parsed = parse_object(request.body);
-    const auto id = parsed.is_discarded() ? std::nullopt : text_member(parsed, "change_id");
-    const auto team = parsed.is_discarded() ? std::nullopt : text_member(parsed, "team");
-    const auto section = parsed.is_discarded() ? std::nullopt : text_member(parsed, "section");
-    const auto base = parsed.is_discarded() ? std::nullopt : number_member(parsed, "base_version");
-    const auto content = parsed.is_discarded() ? std::nullopt : text_member(parsed, "content");
+    const auto id = parsed.is_discarded() ? std::nullopt : string_field(parsed, "change_id");
+    const auto team = parsed.is_discarded() ? std::nullopt : string_field(parsed, "team");
+    const auto section = parsed.is_discarded() ? std::nullopt : string_field(parsed, "section");
+    const auto base = parsed.is_discarded() ? std::nullopt : unsigned_field(parsed, "base_version");
+    const auto content = parsed.is_discarded() ? std::nullopt : string_field(parsed, "content");
     if (!id || !team || !section || !base || !content) {
         response->send(
             error_response(400, "expected change_id, team, section, base_version and content"));
@@ -358,7 +360,8 @@
     }
     auto* service = node_.find<config_service>();
     if (service == nullptr) {
-        response->send(error_response(404, "the document is not a log of changes"));
+        response->send(
+            error_response(404, "this node does not read its configuration from a change log"));
         return;
     }
     section_change change{*id, *team, *section, *base, *content};
@@ -367,8 +370,8 @@
             std::move(change), [response](const absl::StatusOr<publish_verdict>& verdict) {
                 if (!verdict.ok()) {
                     // 504: the change may still take effect. 503: it was not published.
-                    const int code = absl::IsDeadlineExceeded(verdict.status()) ? 504 : 503;
-                    response->send(error_response(code, std::string{verdict.status().message()}));
+                    const int status = absl::IsDeadlineExceeded(verdict.status()) ? 504 : 503;
+                    response->send(error_response(status, std::string{verdict.status().message()}));
                     return;
                 }
                 response->send(json_response(200, {{"accepted", verdict->accepted},
--- a/lib/node/upstream_registry.cpp
+++ b/lib/node/upstream_registry.cpp
@@ -8,12 +8,14 @@
 namespace chestnutstand {
 namespace {
 
-// Five missed announcements of one per second.
+// Five missed heartbeats at one per second.
 constexpr milliseconds lease_time{5'000};
-// Processes follow each other at one address; a late message of an older one is rare.
+// Upstream processes replace each other at one address, and delayed messages of older ones are
+// rare.
 constexpr std::size_t max_departures = 16;
-// A late heartbeat comes alone; an upstream whose health answer is wrong goes on sending them.
-constexpr std::uint32_t trusted_heartbeats = 3;
+// A delayed heartbeat is a single one; a running upstream whose health response is wrong keeps
+// sending them.
+constexpr std::uint32_t heartbeats_to_admit = 3;
 
 } // namespace
 
@@ -29,8 +31,8 @@
 
 bool upstream_registry::has_left(const upstream_heartbeat& heartbeat) const
 {
-    return std::any_of(departures_.begin(), departures_.end(), [&](const departure& each) {
-        return each.id == heartbeat.upstream.id && heartbeat.born_ms <= each.born_until_ms;
+    return std::any_of(departures_.begin(), departures_.end(), [&](const departure& departed) {
+        return departed.id == heartbeat.upstream.id && heartbeat.born_ms <= departed.born_until_ms;
     });
 }
 
@@ -45,28 +47,29 @@
     if (confirmed_ || !verify_) {
         return true;
     }
-    candidate_ = heartbeat.upstream;
-    if (++unconfirmed_ >= trusted_heartbeats) {
+    unconfirmed_upstream_ = heartbeat.upstream;
+    if (++unconfirmed_heartbeats_ >= heartbeats_to_admit) {
         confirmed_ = true;
         return true;
     }
-    verify_(candidate_, born_ms_);
+    verify_(unconfirmed_upstream_, born_ms_);
     return false;
 }
 
 void upstream_registry::confirm(const std::string& id, std::uint64_t born_ms, time_point now)
 {
-    const bool left = std::any_of(departures_.begin(), departures_.end(), [&](const auto& each) {
-        return each.id == id && born_ms <= each.born_until_ms;
-    });
+    const bool left =
+        std::any_of(departures_.begin(), departures_.end(), [&](const auto& departed) {
+            return departed.id == id && born_ms <= departed.born_until_ms;
+        });
     if (id != id_ || born_ms != born_ms_ || left || confirmed_) {
         return;
     }
     confirmed_ = true;
-    announce(candidate_, now);
+    announce(unconfirmed_upstream_, now);
 }
 
-heartbeat_verdict upstream_registry::announce(const upstream_heartbeat& heartbeat, time_point now)
+heartbeat_result upstream_registry::announce(const upstream_heartbeat& heartbeat, time_point now)
 {
     const auto& upstream = heartbeat.upstream;
     if (is_outdated(heartbeat)) {
@@ -76,7 +79,7 @@
                    {"born_ms", heartbeat.born_ms},
                    {"known_sequence", sequence_},
                    {"known_born_ms", born_ms_}});
-        return heartbeat_verdict::outdated;
+        return heartbeat_result::outdated;
     }
     if (upstream.id != id_ || heartbeat.born_ms != born_ms_) {
         log_event(log_level::info, "upstream process started",
@@ -87,7 +90,7 @@
         id_ = upstream.id;
         born_ms_ = heartbeat.born_ms;
         confirmed_ = heartbeat.born_ms >= verify_before_ms_;
-        unconfirmed_ = 0;
+        unconfirmed_heartbeats_ = 0;
     }
     sequence_ = heartbeat.sequence;
     if (heartbeat.state == upstream_state::draining) {
@@ -96,7 +99,7 @@
     if (!has_left(heartbeat) && may_admit(heartbeat)) {
         announce(upstream, now);
     }
-    return heartbeat_verdict::accepted;
+    return heartbeat_result::accepted;
 }
 
 void upstream_registry::announce(local_upstream upstream, time_point now)
@@ -122,11 +125,11 @@
     if (born_until == 0) {
         born_until = known ? born_ms_ : unix_now_ms;
     }
-    const bool repeated =
-        std::any_of(departures_.begin(), departures_.end(), [&](const auto& each) {
-            return each.id == id && each.born_until_ms >= born_until;
+    const bool already_recorded =
+        std::any_of(departures_.begin(), departures_.end(), [&](const auto& departed) {
+            return departed.id == id && departed.born_until_ms >= born_until;
         });
-    if (!repeated) {
+    if (!already_recorded) {
         departures_.push_back({id, born_until});
         if (departures_.size() > max_departures) {
             departures_.pop_front();
--- a/unittests/node/upstream_registry_test.cpp
+++ b/unittests/node/upstream_registry_test.cpp
@@ -25,7 +25,7 @@
 
 class upstream_registry_test : public testing::Test {
 protected:
-    heartbeat_verdict announce(const upstream_heartbeat& given)
+    heartbeat_result announce(const upstream_heartbeat& given)
     {
         return registry_.announce(given, now_);
     }
@@ -43,7 +43,7 @@
     ASSERT_TRUE(admitted_);
     announce(heartbeat("a", first_born, 3, upstream_state::draining));
     EXPECT_FALSE(admitted_);
-    EXPECT_EQ(announce(heartbeat("a", first_born, 2)), heartbeat_verdict::outdated);
+    EXPECT_EQ(announce(heartbeat("a", first_born, 2)), heartbeat_result::outdated);
     EXPECT_FALSE(admitted_);
     announce(heartbeat("a", first_born, 4));
     EXPECT_FALSE(admitted_);
@@ -53,7 +53,7 @@
 TEST_F(upstream_registry_test, heartbeat_of_an_older_process_is_outdated)
 {
     announce(heartbeat("b", second_born, 1));
-    EXPECT_EQ(announce(heartbeat("a", first_born, 50)), heartbeat_verdict::outdated);
+    EXPECT_EQ(announce(heartbeat("a", first_born, 50)), heartbeat_result::outdated);
     EXPECT_EQ(admitted_->id, "b");
 }
 
@@ -63,7 +63,7 @@
 {
     announce(heartbeat("a", first_born, 50));
     announce(heartbeat("a", first_born, 51, upstream_state::draining));
-    EXPECT_EQ(announce(heartbeat("a", second_born, 1)), heartbeat_verdict::accepted);
+    EXPECT_EQ(announce(heartbeat("a", second_born, 1)), heartbeat_result::accepted);
     EXPECT_TRUE(admitted_);
 }
 
