--- a/include/chestnutstand/node/kernel.h
+++ b/include/chestnutstand/node/kernel.h
@@ -39,23 +39,23 @@
 
     virtual absl::Status start(kernel& node) = 0;
 
-    /// Settings that may change while the node runs have changed.
+    /// Applies the current values of the reloadable settings.
     virtual void reload(kernel& node);
 
-    /// A planned stop begins: take no new work.
+    /// Begins a planned stop with its lame-duck period: the component must take on no new work.
     virtual void begin_drain(kernel& node);
 
-    /// The lame-duck period is over: refuse everything that is new.
+    /// Ends the lame-duck period: all new work must be refused from now on.
     virtual void end_lame_duck(kernel& node);
 
-    /// Whether no accepted work is left.
+    /// Whether all accepted work has been completed.
     virtual bool idle() const { return true; }
 
     /// Called in reverse order of start.
     virtual void stop(kernel& node);
 };
 
-/// Ports that the node's sockets are bound to.
+/// Ports to which the node's sockets are bound.
 struct node_ports {
     std::uint16_t caller = 0;
     std::uint16_t admin = 0;
@@ -63,22 +63,23 @@
     std::uint16_t gossip = 0;
 };
 
-/// Keys of the settings file that a running node follows.
+/// Keys of the settings file whose values can change while the node runs.
 inline constexpr std::array<std::string_view, 5> reloadable_settings{
     "log_level", "retry_limits", "lame_duck_ms", "drain_limit_ms", "grace_s"};
 
-/// What all components of a node share, and the order in which they start and stop.
+/// Starts and stops the components of a node in dependency order and provides the objects that they
+/// share.
 class kernel {
 public:
-    explicit kernel(settings own_settings);
+    explicit kernel(settings initial_settings);
     kernel(const kernel&) = delete;
     kernel& operator=(const kernel&) = delete;
     ~kernel();
 
-    /// Starts all registered components.
+    /// Starts all registered components; returns the error of the first one that fails.
     absl::Status start();
 
-    /// Takes over the reloadable settings. Not during a drain.
+    /// Applies the reloadable settings. Must not be called during a drain.
     void reload(const settings& changed);
 
     /// Drains, waits until the node is idle or the drain limit has passed, and stops. Returns
@@ -86,23 +87,23 @@
     bool drain_and_stop();
 
     const settings& config() const { return settings_; }
-    /// Random identity of this process.
+    /// Random id of this process, never 0.
     std::uint64_t instance() const { return instance_; }
     bool draining() const { return draining_; }
-    /// Whether the upstream tells by itself when it leaves, so that it gets calls during the
-    /// lame-duck period of a node that is only restarted.
+    /// Whether the upstream reports its own departure. If so, a node that is restarted continues to
+    /// send calls to the upstream during the lame-duck period.
     bool upstream_outlives_drain() const
     {
         return settings_.interface_for_callers == caller_interface::routes;
     }
-    /// Each port is set by the component that binds it, at its start.
+    /// Each port is set by the component that binds it, when that component starts.
     node_ports& ports() { return ports_; }
     metrics& stats() { return metrics_; }
     control_loop& control() { return control_; }
     http_client& http() { return *http_; }
     peer_client& peers() { return *peers_; }
 
-    /// Makes an object of a component known to the others under its type.
+    /// Makes an object available to other components under its type. The caller keeps ownership.
     template <typename T>
     void provide(T& object)
     {
@@ -110,7 +111,7 @@
         objects_[std::type_index{typeid(T)}] = &object;
     }
 
-    /// An object provided by another component, or null.
+    /// Returns the object of this type that a component has provided, or null.
     template <typename T>
     T* find() const
     {
@@ -119,7 +120,7 @@
         return found == objects_.end() ? nullptr : static_cast<T*>(found->second);
     }
 
-    /// As find, for a declared dependency, which must exist.
+    /// Like find(), for an object of a declared dependency; aborts the process if there is none.
     template <typename T>
     T& get() const
     {
@@ -129,7 +130,7 @@
     }
 
 private:
-    /// Stops the process when an invariant is broken.
+    /// Aborts the process when an invariant does not hold.
     static void require(bool invariant);
 
     absl::Status start_with_dependencies(std::string_view name);
--- a/lib/node/components/admin_component.cpp
+++ b/lib/node/components/admin_component.cpp
@@ -7,8 +7,8 @@
 namespace chestnutstand {
 namespace {
 
-/// Serves operators and the local upstream on a port of its own, which stays usable in an overload
-/// of the caller port.
+/// Serves operators and the local upstream on a separate port, so that it stays usable when the
+/// caller port is overloaded.
 class admin_component final : public component {
 public:
     std::vector<std::string_view> dependencies() const override
@@ -19,37 +19,37 @@
     absl::Status start(kernel& node) override
     {
         api_ = std::make_unique<admin_api>(node);
-        const settings& own = node.config();
-        absl::Status status = serve({own.address, own.admin_port}, &admin_api::handle);
+        const settings& config = node.config();
+        absl::Status status = serve({config.address, config.admin_port}, &admin_api::handle);
         if (!status.ok()) {
             return status;
         }
         node.ports().admin = servers_.front()->port();
-        if (!own.readiness_address.empty()) {
-            status = serve(split_address(own.readiness_address), &admin_api::handle_readiness);
+        if (!config.readiness_address.empty()) {
+            status = serve(split_address(config.readiness_address), &admin_api::handle_readiness);
         }
-        if (status.ok() && !own.registration_address.empty()) {
+        if (status.ok() && !config.registration_address.empty()) {
             status =
-                serve(split_address(own.registration_address), &admin_api::handle_registration);
+                serve(split_address(config.registration_address), &admin_api::handle_registration);
         }
         return status;
     }
 
     void stop(kernel& /*node*/) override
     {
-        for (const auto& each : servers_) {
-            each->stop();
+        for (const auto& server : servers_) {
+            server->stop();
         }
     }
 
 private:
     using endpoint = void (admin_api::*)(const http_request&, const std::shared_ptr<responder>&);
 
-    absl::Status serve(const socket_address& at, endpoint handle)
+    absl::Status serve(const socket_address& bind_address, endpoint handle)
     {
         http_server_options options;
-        options.address = at.address;
-        options.port = at.port;
+        options.address = bind_address.address;
+        options.port = bind_address.port;
         servers_.push_back(std::make_unique<http_server>(
             options, [this, handle](const http_request& request,
                                     const std::shared_ptr<responder>& response) {
--- a/lib/node/components/config_component.cpp
+++ b/lib/node/components/config_component.cpp
@@ -7,7 +7,8 @@
 namespace chestnutstand {
 namespace {
 
-/// Provides the configuration document: from a log of changes, or from one record of a keyed store.
+/// Provides the configuration document, read from a log of changes or from one record of a keyed
+/// store.
 class config_component final : public component {
 public:
     std::vector<std::string_view> dependencies() const override { return {"log", "keyed_store"}; }
--- a/lib/node/components/executor_component.cpp
+++ b/lib/node/components/executor_component.cpp
@@ -14,8 +14,8 @@
 constexpr milliseconds lease_check_interval{500};
 constexpr milliseconds health_timeout{500};
 constexpr milliseconds extra_key_lifetime{60'000};
-// Bounds how late a queued call learns that its time has passed while no other call ends. At 10 ms
-// the polling took most of the idle processor time of a node.
+// Bounds how late a queued call is refused after its time has passed while no other call completes.
+// At 10 ms, polling took most of the processor time of an idle node.
 constexpr milliseconds poll_interval{40};
 
 /// Provides the executor and the lease of the local upstream.
@@ -24,7 +24,7 @@
     absl::Status start(kernel& node) override
     {
         key_table_limits limits;
-        // A candidate remembers a key for longer than its owner may ask about it.
+        // A candidate must remember a key for longer than the owner of the key may ask about it.
         limits.lifetime += extra_key_lifetime;
         keys_ =
             std::make_unique<executor_keys>(node.instance(), node.config().cluster_secret, limits);
@@ -45,7 +45,7 @@
             });
         registry_->verify_born_before(
             unix_now_ms(), [this, &node](const local_upstream& upstream, std::uint64_t born_ms) {
-                ask_upstream(node, upstream, born_ms);
+                verify_upstream(node, upstream, born_ms);
             });
         node.provide(*keys_);
         node.provide(*executor_);
@@ -65,17 +65,18 @@
     bool idle() const override { return executor_->idle(); }
 
 private:
-    /// Confirms an upstream that answers its health path with 200. One without such a path cannot
-    /// be asked.
-    void ask_upstream(kernel& node, const local_upstream& upstream, std::uint64_t born_ms)
+    /// Confirms an upstream whose health path responds with status 200. An upstream without a
+    /// health path is confirmed without a request.
+    void verify_upstream(kernel& node, const local_upstream& upstream, std::uint64_t born_ms)
     {
         const auto confirm = [this, &node, id = upstream.id, born_ms] {
             node.control().post(
                 [this, id, born_ms] { registry_->confirm(id, born_ms, ms_clock::now()); });
         };
         const auto* config = node.find<configuration>();
-        const auto in_force = config != nullptr ? config->current().load() : nullptr;
-        const auto* service = in_force ? in_force->find_service(upstream.service) : nullptr;
+        const auto active_document = config != nullptr ? config->current().load() : nullptr;
+        const auto* service =
+            active_document ? active_document->find_service(upstream.service) : nullptr;
         if (service == nullptr || service->health_path.empty()) {
             confirm();
             return;
--- a/lib/node/components/keys_component.cpp
+++ b/lib/node/components/keys_component.cpp
@@ -14,16 +14,16 @@
 namespace {
 
 constexpr milliseconds ended_check_interval{500};
-/// A member that is silent for this long counts as ended: it is then unlikely to be only paused,
-/// and an unknown outcome is never wrong.
-constexpr milliseconds silence_limit{60'000};
+/// A member that has been dead for this long counts as ended. It is unlikely to be only paused
+/// then, and if it is, the unknown outcome that its callers get is still correct.
+constexpr milliseconds dead_time_limit{60'000};
 
 using instance_set = std::set<std::uint64_t>;
 
-/// The executor of this process as a candidate of keys.
-class own_candidate final : public key_executor {
+/// Makes the executor of this process available as a candidate for keyed calls.
+class local_candidate final : public key_executor {
 public:
-    explicit own_candidate(kernel& node)
+    explicit local_candidate(kernel& node)
         : instance_{node.instance()}, executor_{node.get<executor>()},
           keys_{node.get<executor_keys>()}
     {
@@ -44,7 +44,7 @@
     executor_keys& keys_;
 };
 
-/// Provides the owner and the settlement of idempotency keys.
+/// Provides the router, the owner and the settlement of idempotency keys.
 class keys_component final : public component {
 public:
     std::vector<std::string_view> dependencies() const override
@@ -54,13 +54,13 @@
 
     absl::Status start(kernel& node) override
     {
-        // Routes say which requests must not repeat, and their ids take the place of issued keys.
+        // Routes define which requests must not be repeated; request ids replace issued keys there.
         if (node.config().interface_for_callers == caller_interface::routes) {
             return absl::OkStatus();
         }
-        ended_.store(std::make_shared<instance_set>());
-        local_ = std::make_unique<own_candidate>(node);
-        const key_candidates candidates{node.instance(), node.peers(), *local_};
+        ended_instances_.store(std::make_shared<instance_set>());
+        local_candidate_ = std::make_unique<local_candidate>(node);
+        const key_candidates candidates{node.instance(), node.peers(), *local_candidate_};
         const std::string& secret = node.config().cluster_secret;
         const key_owner_options options{
             {node.instance(), node.config().advertised_address, node.ports().node}, secret, {}, {}};
@@ -71,7 +71,8 @@
                                                                                 environment(node),
                                                                                 settle_timing{}));
         node.provide(*router_);
-        node.control().repeat(ended_check_interval, [this, &node] { update_ended(node); });
+        node.control().repeat(ended_check_interval,
+                              [this, &node] { update_ended_instances(node); });
         return absl::OkStatus();
     }
 
@@ -90,7 +91,7 @@
                     node.control().post_after(delay, std::move(work));
                 },
                 [this](const node_reference& candidate) {
-                    return ended_.load()->count(candidate.instance) != 0U;
+                    return ended_instances_.load()->count(candidate.instance) != 0U;
                 }};
     }
 
@@ -101,47 +102,47 @@
                     return dispatch.choose_distinct(service, "", max_key_candidates);
                 },
                 [this, &dispatch](const service_call& call, std::vector<node_reference> untried) {
-                    const auto ended = ended_.load();
+                    const auto ended = ended_instances_.load();
                     untried.erase(std::remove_if(untried.begin(), untried.end(),
-                                                 [&](const auto& each) {
-                                                     return ended->count(each.instance) != 0U;
+                                                 [&](const auto& candidate) {
+                                                     return ended->count(candidate.instance) != 0U;
                                                  }),
                                   untried.end());
                     return dispatch.rank(call.service, call.priority, std::move(untried));
                 }};
     }
 
-    /// Finds the instances that have left, that a new process at the same address has replaced, or
-    /// that have been silent for long. Runs on the control thread.
-    void update_ended(kernel& node)
+    /// Records the instances that have left, were replaced by a new process at the same address, or
+    /// have been dead for dead_time_limit. Runs on the control thread.
+    void update_ended_instances(kernel& node)
     {
         const time_point now = ms_clock::now();
         std::map<std::pair<std::string, std::uint16_t>, std::uint64_t> alive;
         const auto members = node.get<membership>().members();
-        for (const member& each : members) {
-            if (each.state == liveness::alive) {
-                alive[{each.node.address, each.node.node_port}] = each.node.instance;
-                dead_since_.erase(each.node.instance);
+        for (const member& peer : members) {
+            if (peer.state == liveness::alive) {
+                alive[{peer.node.address, peer.node.node_port}] = peer.node.instance;
+                dead_since_.erase(peer.node.instance);
             }
         }
-        auto ended = std::make_shared<instance_set>(*ended_.load());
-        for (const member& each : members) {
-            if (each.state == liveness::alive || each.state == liveness::suspect) {
+        auto ended = std::make_shared<instance_set>(*ended_instances_.load());
+        for (const member& peer : members) {
+            if (peer.state == liveness::alive || peer.state == liveness::suspect) {
                 continue;
             }
-            const auto since = dead_since_.try_emplace(each.node.instance, now).first->second;
-            if (each.state == liveness::left || now - since >= silence_limit ||
-                alive.count({each.node.address, each.node.node_port}) != 0U) {
-                ended->insert(each.node.instance);
+            const auto since = dead_since_.try_emplace(peer.node.instance, now).first->second;
+            if (peer.state == liveness::left || now - since >= dead_time_limit ||
+                alive.count({peer.node.address, peer.node.node_port}) != 0U) {
+                ended->insert(peer.node.instance);
             }
         }
-        ended_.store(std::move(ended));
+        ended_instances_.store(std::move(ended));
     }
 
-    std::unique_ptr<own_candidate> local_;
+    std::unique_ptr<local_candidate> local_candidate_;
     std::shared_ptr<key_owner> owner_;
     std::shared_ptr<key_router> router_;
-    snapshot<instance_set> ended_;
+    snapshot<instance_set> ended_instances_;
     std::map<std::uint64_t, time_point> dead_since_;
 };
 
--- a/lib/node/components/log_component.cpp
+++ b/lib/node/components/log_component.cpp
@@ -6,7 +6,7 @@
 namespace chestnutstand {
 namespace {
 
-/// Provides the client of the log service, when the settings name one.
+/// Provides the client of the log service if the settings name one.
 class log_component final : public component {
 public:
     absl::Status start(kernel& node) override
--- a/lib/node/components/membership_component.cpp
+++ b/lib/node/components/membership_component.cpp
@@ -14,10 +14,11 @@
 namespace {
 
 constexpr milliseconds tail_check_interval{250};
-/// Somewhat more than a probe period, in which a node hears at least the answer to its own probe.
+/// Slightly longer than a probe period, in which a node receives at least the response to its own
+/// probe.
 constexpr milliseconds silence_limit{1'250};
 
-/// Joins the other nodes and connects gossip with the configuration.
+/// Joins the cluster and connects gossip with the configuration.
 class membership_component final : public component {
 public:
     std::vector<std::string_view> dependencies() const override
@@ -79,26 +80,27 @@
         return std::make_shared<join_log>(node.control(), node.get<log_client>());
     }
 
-    /// A few nodes per data centre read the source of the document; the others learn from them by
-    /// gossip, or read themselves while they hear nothing. Nodes that disagree about who is alive
-    /// only make a few more or fewer of them read.
-    bool tails_document(kernel& node) const
+    /// Whether this node should read the document from its source. A few nodes per data centre do;
+    /// the others learn of changes by gossip, or read the source while they receive no messages.
+    /// When nodes disagree about which members are alive, only the number of readers varies.
+    bool should_read_source(kernel& node) const
     {
         if (members_->silence() > silence_limit) {
             return true;
         }
-        std::size_t lower = 0;
-        for (const member& each : members_->members()) {
-            const bool counts = is_live(each) && each.data_centre == node.config().data_centre;
-            lower += counts && each.node.instance < node.instance() ? 1 : 0;
+        std::size_t lower_instances = 0;
+        for (const member& peer : members_->members()) {
+            const bool is_candidate =
+                is_live(peer) && peer.data_centre == node.config().data_centre;
+            lower_instances += is_candidate && peer.node.instance < node.instance() ? 1 : 0;
         }
-        return lower < node.get<configuration>().wanted_readers();
+        return lower_instances < node.get<configuration>().wanted_readers();
     }
 
     void connect_configuration(kernel& node)
     {
         node.control().repeat(tail_check_interval, [this, &node] {
-            node.get<configuration>().set_tailing(tails_document(node));
+            node.get<configuration>().set_tailing(should_read_source(node));
         });
         auto& config = node.get<configuration>();
         config.on_advance([this](std::uint64_t next) { members_->set_config_next_offset(next); });
--- a/lib/node/components/node_endpoint_component.cpp
+++ b/lib/node/components/node_endpoint_component.cpp
@@ -13,7 +13,7 @@
 
 constexpr milliseconds stop_limit{1'000};
 
-/// Hands calls from other nodes to the components of this node.
+/// Dispatches requests from other nodes to the components of this node.
 class local_node_handler final : public node_handler {
 public:
     explicit local_node_handler(kernel& node) : node_{node}, executor_{node.get<executor>()} {}
@@ -55,16 +55,18 @@
         });
     }
 
-    void sync_members(std::vector<std::string> theirs, peer_client::members_done done) override
+    void sync_members(std::vector<std::string> remote_members,
+                      peer_client::members_done done) override
     {
-        node_.control().post([this, theirs = std::move(theirs), done = std::move(done)]() mutable {
-            auto* members = node_.find<membership>();
-            if (members == nullptr) {
-                done(absl::UnavailableError("membership has not started"));
-                return;
-            }
-            members->handle_sync(theirs, done);
-        });
+        node_.control().post(
+            [this, remote_members = std::move(remote_members), done = std::move(done)]() mutable {
+                auto* members = node_.find<membership>();
+                if (members == nullptr) {
+                    done(absl::UnavailableError("membership has not started"));
+                    return;
+                }
+                members->handle_sync(remote_members, done);
+            });
     }
 
 private:
@@ -72,7 +74,7 @@
     executor& executor_;
 };
 
-/// Serves other nodes.
+/// Runs the server for requests from other nodes.
 class node_endpoint_component final : public component {
 public:
     std::vector<std::string_view> dependencies() const override { return {"config", "executor"}; }
@@ -80,10 +82,10 @@
     absl::Status start(kernel& node) override
     {
         handler_ = std::make_unique<local_node_handler>(node);
-        const settings& own = node.config();
-        server_ = own.carrier == node_carrier::http
-                      ? make_http_node_server(own.address, own.node_port, *handler_)
-                      : std::make_unique<node_server>(own.address, own.node_port, *handler_);
+        const settings& config = node.config();
+        server_ = config.carrier == node_carrier::http
+                      ? make_http_node_server(config.address, config.node_port, *handler_)
+                      : std::make_unique<node_server>(config.address, config.node_port, *handler_);
         absl::Status status = server_->start();
         if (status.ok()) {
             node.ports().node = server_->port();
--- a/lib/node/kernel.cpp
+++ b/lib/node/kernel.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr milliseconds idle_poll_interval{10};
-/// Answers are held in memory as a whole, at both nodes on their way.
+/// Both nodes on the path of a response hold all of it in memory.
 constexpr std::size_t max_response_bytes = std::size_t{64} << 20U;
 
 std::uint64_t random_instance()
@@ -35,8 +35,8 @@
 void component::end_lame_duck(kernel& /*node*/) {}
 void component::stop(kernel& /*node*/) {}
 
-kernel::kernel(settings own_settings)
-    : settings_{std::move(own_settings)}, instance_{random_instance()},
+kernel::kernel(settings initial_settings)
+    : settings_{std::move(initial_settings)}, instance_{random_instance()},
       http_{make_http_client(max_response_bytes)}, peers_{settings_.carrier == node_carrier::http
                                                               ? make_http_peer_client(*http_)
                                                               : make_grpc_peer_client()}
@@ -46,7 +46,7 @@
 kernel::~kernel()
 {
     control_.stop();
-    // Clients first: their last callbacks may use components.
+    // Destroy the clients first, because their last callbacks may use components.
     http_.reset();
     peers_.reset();
 }
@@ -75,12 +75,12 @@
     if (components_.find(name) != components_.end()) {
         return absl::OkStatus();
     }
-    auto made = registry<component>::instance().make(name);
-    if (!made) {
+    auto created = registry<component>::instance().make(name);
+    if (!created) {
         return absl::InternalError("no component named " + std::string{name});
     }
-    component& added = *made;
-    components_.emplace(name, std::move(made));
+    component& added = *created;
+    components_.emplace(name, std::move(created));
     for (const std::string_view dependency : added.dependencies()) {
         absl::Status status = start_with_dependencies(dependency);
         if (!status.ok()) {
@@ -96,8 +96,8 @@
 
 bool kernel::all_idle() const
 {
-    for (const component* each : started_) {
-        if (!each->idle()) {
+    for (const component* started : started_) {
+        if (!started->idle()) {
             return false;
         }
     }
@@ -112,29 +112,29 @@
     settings_.drain_limit_ms = changed.drain_limit_ms;
     settings_.grace_s = changed.grace_s;
     set_log_level(settings_.lowest_log_level);
-    for (component* each : started_) {
-        each->reload(*this);
+    for (component* started : started_) {
+        started->reload(*this);
     }
 }
 
 bool kernel::drain_and_stop()
 {
-    const time_point limit = ms_clock::now() + milliseconds{settings_.drain_limit_ms};
+    const time_point idle_deadline = ms_clock::now() + milliseconds{settings_.drain_limit_ms};
     draining_ = true;
-    for (component* each : started_) {
-        each->begin_drain(*this);
+    for (component* started : started_) {
+        started->begin_drain(*this);
     }
-    // Peers and callers learn of the drain meanwhile.
+    // Give peers and callers time to learn of the drain.
     sleep_for(milliseconds{settings_.lame_duck_ms});
-    for (component* each : started_) {
-        each->end_lame_duck(*this);
+    for (component* started : started_) {
+        started->end_lame_duck(*this);
     }
-    while (!all_idle() && ms_clock::now() < limit) {
+    while (!all_idle() && ms_clock::now() < idle_deadline) {
         sleep_for(idle_poll_interval);
     }
     const bool idle = all_idle();
-    for (auto each = started_.rbegin(); each != started_.rend(); ++each) {
-        (*each)->stop(*this);
+    for (auto it = started_.rbegin(); it != started_.rend(); ++it) {
+        (*it)->stop(*this);
     }
     control_.stop();
     return idle;
