--- a/unittests/node/operations_page_test.cpp
+++ b/unittests/node/operations_page_test.cpp
@@ -9,8 +9,8 @@
 namespace chestnutstand {
 namespace {
 
-// Guards against a reason that an operator meets in a counter and cannot look up, and against a
-// status on the page that callers do not get.
+// Guards against a reason that appears in a counter but not on the operations page, and against a
+// status on that page that callers do not receive.
 TEST(operations_page, explains_every_reason_with_its_status)
 {
     std::ifstream file{OPERATIONS_PAGE};
@@ -21,11 +21,11 @@
         const auto row = page.find("\n| `" + std::string{to_string(reason)} + "` | ");
         ASSERT_NE(row, std::string::npos) << to_string(reason);
         const std::string line = page.substr(row + 1, page.find('\n', row + 1) - row - 1);
-        const auto lists = [&](call_outcome outcome) {
+        const auto has_status = [&](call_outcome outcome) {
             return line.find(std::to_string(status_of(outcome, reason))) != std::string::npos;
         };
-        EXPECT_TRUE(reason == reason_code::caller_gone || lists(call_outcome::not_run) ||
-                    lists(call_outcome::unknown))
+        EXPECT_TRUE(reason == reason_code::caller_gone || has_status(call_outcome::not_run) ||
+                    has_status(call_outcome::unknown))
             << line;
     }
 }
