--- a/include/chestnutstand/node/executor.h
+++ b/include/chestnutstand/node/executor.h
@@ -38,7 +38,7 @@
 /// probes within the configured budget.
 ///
 /// The pace of an upstream is the factor by which its work currently takes longer than usual; 1 is
-/// the usual time. See upstream_pace.
+/// the usual time. See upstream_slowdown.
 ///
 /// Only the executor sends calls to the upstream. Must outlive its running calls.
 class executor {
@@ -171,7 +171,7 @@
     std::unordered_map<std::uint64_t, call_execution_ptr> executions_;
     std::uint64_t last_id_ = 0;
     attempt_ledger attempts_;
-    upstream_pace pace_;
+    upstream_slowdown pace_;
     bool pace_probe_running_ = false;
     /// Calls that wait for the running pace probe.
     std::vector<waiting_call> waiting_for_pace_;
