--- a/lib/node/executor_pace.cpp
+++ b/lib/node/executor_pace.cpp
@@ -110,7 +110,7 @@
     {
         const std::lock_guard lock{mutex_};
         path = health_path();
-        if (pace_probe_running_ || path.empty() || !pace_.wants_refresh(now)) {
+        if (pace_probe_running_ || path.empty() || !pace_.needs_refresh(now)) {
             return;
         }
         pace_probe_running_ = true;
