--- a/include/chestnutstand/node/executor.h
+++ b/include/chestnutstand/node/executor.h
@@ -2,7 +2,7 @@
 
 #include "chestnutstand/admission/admission_queue.h"
 #include "chestnutstand/admission/load_prober.h"
-#include "chestnutstand/admission/upstream_pace.h"
+#include "chestnutstand/admission/upstream_slowdown.h"
 #include "chestnutstand/config/document.h"
 #include "chestnutstand/keys/attempt_ledger.h"
 #include "chestnutstand/keys/executor_keys.h"
--- a/lib/admission/upstream_pace.cpp
+++ b/lib/admission/upstream_slowdown.cpp
@@ -1,4 +1,4 @@
-#include "chestnutstand/admission/upstream_pace.h"
+#include "chestnutstand/admission/upstream_slowdown.h"
 
 #include <algorithm>
 
--- a/unittests/replay/replay_member.h
+++ b/unittests/replay/replay_member.h
@@ -3,7 +3,7 @@
 #include "model_network.h"
 
 #include "chestnutstand/admission/admission_queue.h"
-#include "chestnutstand/admission/upstream_pace.h"
+#include "chestnutstand/admission/upstream_slowdown.h"
 
 #include <cstdint>
 #include <deque>
