--- a/lib/node/ingress.cpp
+++ b/lib/node/ingress.cpp
@@ -1,6 +1,6 @@
 #include "chestnutstand/node/ingress.h"
 
-#include "chestnutstand/admission/return_time.h"
+#include "chestnutstand/admission/retry_delay.h"
 #include "chestnutstand/node/call_parser.h"
 #include "chestnutstand/node/problem.h"
 #include "chestnutstand/support/log.h"
--- a/unittests/admission/return_time_test.cpp
+++ b/unittests/admission/retry_delay_test.cpp
@@ -1,4 +1,4 @@
-#include "chestnutstand/admission/return_time.h"
+#include "chestnutstand/admission/retry_delay.h"
 
 #include <gtest/gtest.h>
 
--- a/unittests/replay/replay_model.cpp
+++ b/unittests/replay/replay_model.cpp
@@ -1,6 +1,6 @@
 #include "replay_model.h"
 
-#include "chestnutstand/admission/return_time.h"
+#include "chestnutstand/admission/retry_delay.h"
 
 #include <algorithm>
 #include <utility>
