--- a/include/chestnutstand/admission/admission_queue.h
+++ b/include/chestnutstand/admission/admission_queue.h
@@ -69,7 +69,7 @@
     /// Tells how long work takes on the upstream now, compared with its usual time. While it takes
     /// longer, a request starts only if it would still meet its latency target, or else would miss
     /// its deadline.
-    void set_pace(double factor) { pace_ = factor; }
+    void set_slowdown(double factor) { pace_ = factor; }
 
     /// Admits, queues or refuses a request. Ids must be unique among all requests in the queue.
     offer_result offer(std::uint64_t id, std::size_t priority, time_point deadline, time_point now);
--- a/lib/node/executor_pace.cpp
+++ b/lib/node/executor_pace.cpp
@@ -81,7 +81,7 @@
 void executor::follow_pace(time_point now)
 {
     if (queue_) {
-        queue_->set_pace(pace_.slow(now) ? pace_.factor(now) : 1.0);
+        queue_->set_slowdown(pace_.slow(now) ? pace_.factor(now) : 1.0);
     }
 }
 
--- a/unittests/admission/admission_queue_test.cpp
+++ b/unittests/admission/admission_queue_test.cpp
@@ -293,11 +293,11 @@
 TEST_F(admission_queue_test, holds_requests_while_the_upstream_is_slow)
 {
     measure(normal, 100, 20);
-    queue_.set_pace(4.0);
+    queue_.set_slowdown(4.0);
     EXPECT_EQ(offer(normal), offer_state::queued);
     EXPECT_FALSE(queue_.next(now_));
     elapse(100);
-    queue_.set_pace(1.0);
+    queue_.set_slowdown(1.0);
     const auto started = queue_.next(now_);
     ASSERT_TRUE(started);
     EXPECT_TRUE(started->starts());
@@ -307,7 +307,7 @@
 TEST_F(admission_queue_test, starts_a_held_request_at_its_last_chance)
 {
     measure(normal, 100, 20);
-    queue_.set_pace(4.0);
+    queue_.set_slowdown(4.0);
     EXPECT_EQ(offer(normal, 700), offer_state::queued);
     std::optional<queue_decision> decision;
     for (int waited = 0; waited < 700 && !decision; waited += 10) {
@@ -323,7 +323,7 @@
 TEST_F(admission_queue_test, starts_what_meets_its_target_on_a_slow_upstream)
 {
     measure(batch, 20, 20);
-    queue_.set_pace(4.0);
+    queue_.set_slowdown(4.0);
     EXPECT_EQ(offer(batch), offer_state::admitted);
 }
 
--- a/unittests/replay/replay_member.cpp
+++ b/unittests/replay/replay_member.cpp
@@ -73,7 +73,7 @@
 void replay_member::take_decisions()
 {
     if (policies_.follow_pace) {
-        queue_.set_pace(pace_.slow(loop_.now()) ? pace_.factor(loop_.now()) : 1.0);
+        queue_.set_slowdown(pace_.slow(loop_.now()) ? pace_.factor(loop_.now()) : 1.0);
     }
     while (const auto decision = queue_.next(loop_.now())) {
         if (decision->starts()) {
