--- a/include/chestnutstand/admission/admission_queue.h
+++ b/include/chestnutstand/admission/admission_queue.h
@@ -19,8 +19,8 @@
 namespace chestnutstand {
 
 enum class offer_state : std::uint8_t {
-    admitted, ///< Runs now; the caller of offer() sends it to the upstream.
-    queued,   ///< next() will hand it out, to start or to refuse.
+    admitted, ///< Starts now; the caller of offer() sends it to the upstream.
+    queued,   ///< next() will return it, to be started or to be refused.
     refused,
 };
 
@@ -29,66 +29,67 @@
     reason_code reason = reason_code::none;
 };
 
-/// One request that leaves the queue, to be started or to be refused.
+/// A request that leaves the queue, to be started or to be refused.
 struct queue_decision {
     std::uint64_t id = 0;
-    /// Why the request is refused; none when it starts.
+    /// Why the request is refused; none if it is to be started.
     reason_code refusal = reason_code::none;
     milliseconds waited{0};
 
     bool starts() const { return refusal == reason_code::none; }
 };
 
-/// Admission control in front of one upstream: decides which request starts when, and which is
-/// refused. Knows requests by id only; the caller keeps them. Pure and not thread-safe.
+/// Admission control for one upstream: decides when each request starts and which requests are
+/// refused. It stores only request ids; the caller owns the requests. It does no I/O and reads no
+/// clock. Not thread-safe.
 ///
-/// Order: the class with the lowest latency target first, except that a class is served as soon as
-/// it has earned a dispatch by its guaranteed share. Every dispatch earns each backlogged class
-/// reserve x weight / sum of weights of a dispatch, and costs the dispatched class one. Among K
-/// classes the earned and not yet received dispatches of one class stay below H(K) + its share,
-/// H(K) = 1 + 1/2 + ... + 1/K: this is the known bound for serving the largest of K counters that
-/// together grow by at most one per step. So of N dispatches during which a class was backlogged it
-/// gets at least its share of N, less that bound.
+/// Order: the class with the lowest latency target is served first, except that a class whose
+/// guaranteed share has earned it a whole dispatch is served next. Each dispatch credits every
+/// backlogged class with its guaranteed share, reserve x weight / sum of weights, and debits the
+/// dispatched class by one. With K classes, the credit of a class stays below H(K) + its share,
+/// where H(K) = 1 + 1/2 + ... + 1/K: the known bound for always serving the largest of K counters
+/// that together grow by at most one per step. Of N dispatches during which a class was backlogged,
+/// the class therefore receives at least its share of N, minus that bound.
 ///
-/// Headroom: running requests are not preempted, so a full set of slow, less urgent ones would make
-/// an urgent one wait for the first to end. Less urgent classes therefore leave the slots free that
-/// the recent demand of the more urgent ones is expected to need (mean + square root of the mean),
-/// unless slots become free quickly compared with the target anyway. Guaranteed dispatches ignore
-/// the headroom.
+/// Headroom: running requests are not preempted, so if slow requests of less urgent classes held
+/// all slots, an urgent request would have to wait for one of them to end. Less urgent classes
+/// therefore leave as many slots free as the more urgent classes are expected to need, judged by
+/// their recent demand (mean + square root of the mean). No slots are kept free when slots become
+/// free quickly compared with the latency target. Guaranteed dispatches ignore the headroom.
 class admission_queue {
 public:
     admission_queue(const service_config& service, std::uint32_t slots);
 
-    /// Index of a class by its name, valid until the next set_classes().
+    /// Index of the class with this name, valid until the next set_classes().
     std::optional<std::size_t> find_priority(std::string_view name) const;
 
-    /// A class for a request whose own is not known here: the first one with the prefix, or else
-    /// the one that is served last. Nothing when there is no class.
+    /// Class for a request whose own class is not configured here: the first class whose name has
+    /// the prefix, otherwise the least urgent class; nullopt if there are no classes.
     std::optional<std::size_t> find_fallback_priority(std::string_view prefix) const;
 
-    /// Tells how long work takes on the upstream now, compared with its usual time. While it takes
-    /// longer, a request starts only if it would still meet its latency target, or else would miss
-    /// its deadline.
-    void set_slowdown(double factor) { pace_ = factor; }
+    /// Sets the current service time of the upstream relative to its usual one. While the factor is
+    /// above 1, a request starts only if it is still expected to meet its latency target, or if it
+    /// would miss its deadline by waiting longer.
+    void set_slowdown(double factor) { slowdown_ = factor; }
 
     /// Admits, queues or refuses a request. Ids must be unique among all requests in the queue.
     offer_result offer(std::uint64_t id, std::size_t priority, time_point deadline, time_point now);
 
-    /// The next request to start or to refuse; to be called until it returns nothing, after every
-    /// other call and whenever next_expiry() has passed.
+    /// The next request to start or to refuse. Call it until it returns nullopt, after each call of
+    /// another non-const member and whenever the time of next_expiry() has passed.
     std::optional<queue_decision> next(time_point now);
 
-    /// Ends a started request; false when no such request is running.
+    /// Ends a started request; false if no such request is running.
     bool finish(std::uint64_t id, const upstream_sample& sample, time_point now);
 
-    /// Takes a request out whose caller has gone; false when it is not queued (any more).
+    /// Removes a queued request whose caller has disconnected; false if it is not queued.
     bool remove(std::uint64_t id);
 
-    /// Applies a changed configuration. Requests of removed classes are handed out by next().
+    /// Applies a changed configuration. next() returns the requests of removed classes as refused.
     void set_classes(const service_config& service);
     void set_slots(std::uint32_t slots) { limit_.set_slots(slots); }
 
-    /// Refuses all further offers; what is queued still runs.
+    /// Refuses all further offers; requests that are already queued are still served.
     void drain() { draining_ = true; }
 
     bool idle() const { return queued_.empty() && running_.empty() && removed_classes_.empty(); }
@@ -96,15 +97,15 @@
     std::uint32_t limit() const { return limit_.value(); }
     std::optional<time_point> next_expiry(time_point now) const;
 
-    /// Expected wait of a request that would be queued now.
+    /// Expected queueing time of a request that arrives now.
     milliseconds expected_wait(std::size_t priority, time_point now);
 
-    /// The load, without the instance id and the registration, which the queue does not know.
+    /// Current load; the instance id and the registration are left for the caller to set.
     load_report report() const;
 
 private:
     struct running_request {
-        /// No value when the class has been removed.
+        /// nullopt if the class has been removed.
         std::optional<std::size_t> priority;
         time_point started;
     };
@@ -123,16 +124,16 @@
     void sort_by_urgency();
 
     concurrency_limit limit_;
-    /// In the order of the document.
+    /// In the order of the configuration document.
     std::vector<class_queue> classes_;
-    /// Indexes into classes_, most urgent first.
+    /// Indices into classes_, most urgent first.
     std::vector<std::size_t> by_urgency_;
     std::unordered_map<std::uint64_t, std::size_t> queued_;
     std::unordered_map<std::uint64_t, running_request> running_;
-    /// Requests whose class was removed, still to be handed out by next().
+    /// Requests whose class was removed, to be returned by next() as refused.
     std::deque<queued_request> removed_classes_;
     decaying_mean service_time_;
-    double pace_ = 1.0;
+    double slowdown_ = 1.0;
     bool draining_ = false;
 };
 
--- a/lib/admission/admission_queue.cpp
+++ b/lib/admission/admission_queue.cpp
@@ -12,15 +12,15 @@
 constexpr double service_time_samples = 32.0;
 constexpr milliseconds service_time_half_life{500};
 constexpr double min_service_time_ms = 0.01;
-// Half of the slack is left for the variation of the estimate and of the service time.
+// The other half of the slack allows for the variation of the estimate and of the service time.
 constexpr double overloaded_wait_slack_fraction = 0.5;
-// Rounding of sums of shares must not delay an earned dispatch.
+// Less than 1, so that rounding errors in the sum of shares do not delay an earned dispatch.
 constexpr double earned_dispatch_credit = 1.0 - 1e-9;
-// A class without requests for this long is not expected back within the next moments.
+// A class without requests for this long is not expected to send one soon and gets no headroom.
 constexpr milliseconds recent_demand_window{10'000};
-// Covers the time between two looks at the queue.
+// Covers the interval between two calls of next().
 constexpr milliseconds deadline_start_margin{40};
-// Waiting a tenth of the target for a free slot is not worth an idle slot.
+// A slot is not kept idle to avoid a wait of at most a tenth of the latency target.
 constexpr double negligible_wait_target_fraction = 0.1;
 
 double sum_of_weights(const service_config& service)
@@ -103,8 +103,8 @@
         queue.refused_while_empty = queue.empty();
         return reason_code::deadline_unmeetable;
     }
-    // An empty queue takes one request whatever the estimate, so that the class stays backlogged
-    // and gets its share.
+    // An empty queue accepts one request regardless of the estimate, so that the class stays
+    // backlogged and receives its guaranteed share.
     if (!queue.empty() && queue.overloaded(now) &&
         wait > queue.target_slack(now) * overloaded_wait_slack_fraction) {
         queue.note_overload_refusal(now);
@@ -203,18 +203,18 @@
     return in_flight() + headroom(priority, now) < limit_.value();
 }
 
-/// A request that starts while the upstream is slow takes several times as long to its end, so that
-/// waiting costs it less as long as there is time.
+/// A request that starts while the upstream is slow takes several times as long until its end, so
+/// waiting for the slow phase to end is faster if the deadline permits it.
 bool admission_queue::is_worth_starting(const class_queue& queue, time_point now) const
 {
-    if (pace_ <= 1.0) {
+    if (slowdown_ <= 1.0) {
         return true;
     }
-    const milliseconds service{queue.service_time().optimistic_mean(now) * pace_};
+    const milliseconds service{queue.service_time().optimistic_mean(now) * slowdown_};
     const auto& first = queue.front();
     const bool in_time = now - first.arrived + service <= queue.config().latency_target;
-    const bool last_chance = now + service + deadline_start_margin >= first.deadline;
-    return in_time || last_chance;
+    const bool deadline_near = now + service + deadline_start_margin >= first.deadline;
+    return in_time || deadline_near;
 }
 
 std::uint32_t admission_queue::headroom(std::size_t priority, time_point now) const
@@ -225,24 +225,24 @@
         limit_.value();
     double expected = 0.0;
     std::uint32_t running = 0;
-    bool wanted = false;
-    // Only classes count for which the wait for a slot of this class would matter.
-    for (const auto urgent : by_urgency_) {
-        if (urgent == priority) {
+    bool has_recent_demand = false;
+    // Counts the more urgent classes for which waiting for a slot of this class would matter.
+    for (const auto more_urgent : by_urgency_) {
+        if (more_urgent == priority) {
             break;
         }
-        const auto& other = classes_[urgent];
+        const auto& other = classes_[more_urgent];
         const double negligible_ms =
             other.config().latency_target.count() * negligible_wait_target_fraction;
         if (!other.last_offer || now - *other.last_offer > recent_demand_window ||
             release_interval_ms <= negligible_ms) {
             continue;
         }
-        wanted = true;
+        has_recent_demand = true;
         running += other.running;
         expected += other.arrivals().per_ms(now) * other.service_time().optimistic_mean(now);
     }
-    if (!wanted) {
+    if (!has_recent_demand) {
         return 0;
     }
     const double needed = std::max(1.0, std::ceil(expected + std::sqrt(expected)));
@@ -297,23 +297,24 @@
 milliseconds admission_queue::expected_wait(std::size_t priority, time_point now)
 {
     auto& queue = classes_[priority];
-    const auto own = queue.requests_ahead(now);
+    const auto ahead_in_class = queue.requests_ahead(now);
     const double total_per_ms = dispatches_per_ms(priority, now);
-    const auto service_ms = [now](const class_queue& of) {
-        return of.service_time().blended_mean(of.config().latency_target.count(), now);
+    const auto service_ms = [now](const class_queue& measured) {
+        return measured.service_time().blended_mean(measured.config().latency_target.count(), now);
     };
     const std::uint32_t idle_slots = headroom(priority, now);
-    double work_ahead_ms = static_cast<double>(own + 1) * service_ms(queue);
+    double work_ahead_ms = static_cast<double>(ahead_in_class + 1) * service_ms(queue);
     double slots_left = static_cast<double>(limit_.value()) - idle_slots;
     bool is_more_urgent = true;
-    bool first_in_line = own == 0;
+    bool first_in_line = ahead_in_class == 0;
     for (const auto index : by_urgency_) {
         const auto& other = classes_[index];
         if (index == priority) {
             is_more_urgent = false;
         }
         else if (is_more_urgent) {
-            // More urgent requests that arrive meanwhile go first, as many as recently.
+            // More urgent requests that arrive during the wait are served first; they are assumed
+            // to arrive at the recent dispatch rate of their class.
             first_in_line = first_in_line && other.empty();
             work_ahead_ms += static_cast<double>(other.size()) * service_ms(other);
             slots_left -= other.dispatches().per_ms(now) * service_ms(other);
@@ -325,10 +326,10 @@
     if (first_in_line && in_flight() + idle_slots < limit_.value()) {
         return milliseconds{0};
     }
-    // Whatever the other classes take, the guaranteed share of the class remains.
+    // The class receives its guaranteed share regardless of the load of the other classes.
     const double shared_ms =
         slots_left > 0.0 ? work_ahead_ms / slots_left : std::numeric_limits<double>::infinity();
-    const double unearned = std::max(0.0, static_cast<double>(own + 1) - queue.credit);
+    const double unearned = std::max(0.0, static_cast<double>(ahead_in_class + 1) - queue.credit);
     const double guaranteed_per_ms = total_per_ms * queue.guaranteed_share();
     const double guaranteed_ms = guaranteed_per_ms > 0.0
                                      ? unearned / guaranteed_per_ms + 1.0 / total_per_ms
@@ -336,9 +337,9 @@
     return milliseconds{std::min(shared_ms, guaranteed_ms)};
 }
 
-/// Rate at which the upstream takes requests while it is fully used. Before anything has been
-/// measured, the latency target of the class stands in for the service time: an empty measurement
-/// must neither admit without bound nor refuse all.
+/// Rate at which requests start while all slots are in use. Until a service time has been measured,
+/// the latency target of the class is used as its estimate, so that requests are neither all
+/// admitted nor all refused.
 double admission_queue::dispatches_per_ms(std::size_t priority, time_point now) const
 {
     const double prior_ms = classes_[priority].config().latency_target.count();
