--- a/lib/admission/class_queue.cpp
+++ b/lib/admission/class_queue.cpp
@@ -7,29 +7,30 @@
 namespace {
 
 constexpr double service_time_samples = 16.0;
-// A class that is refused because of its measured service time is tried again after a few of these.
+// After a few half-lives, a class that was refused because of its measured service time is admitted
+// again, so that it can be measured anew.
 constexpr milliseconds measurement_half_life{500};
-// A queue that empties within two latency targets is a burst that the capacity can absorb.
+// A queue that is empty again within two latency targets is a burst that the capacity can absorb.
 constexpr double overload_interval_targets = 2.0;
-// A class whose service time exceeds its target is still given some time in the queue.
+// Lets requests wait for a while even if the service time of the class exceeds its latency target.
 constexpr double min_slack_target_fraction = 0.25;
-// Bounds the rate of wake-ups while an expiry time moves with the measured service time.
+// Limits the rate of wake-ups while the expiry time changes with the measured service time.
 constexpr milliseconds min_expiry_delay{1};
 
 } // namespace
 
-class_queue::class_queue(priority_config config, double guaranteed_share, std::size_t bound)
-    : config_{std::move(config)}, guaranteed_share_{guaranteed_share}, bound_{bound},
+class_queue::class_queue(priority_config config, double guaranteed_share, std::size_t max_size)
+    : config_{std::move(config)}, guaranteed_share_{guaranteed_share}, max_size_{max_size},
       service_time_{service_time_samples, measurement_half_life}, arrivals_{measurement_half_life},
       dispatches_{measurement_half_life}
 {
 }
 
-void class_queue::configure(priority_config config, double guaranteed_share, std::size_t bound)
+void class_queue::configure(priority_config config, double guaranteed_share, std::size_t max_size)
 {
     config_ = std::move(config);
     guaranteed_share_ = guaranteed_share;
-    bound_ = bound;
+    max_size_ = max_size;
 }
 
 void class_queue::push(const queued_request& request, time_point now)
@@ -48,7 +49,7 @@
     if (!positions_.contains(id)) {
         return false;
     }
-    take(id);
+    extract(id);
     return true;
 }
 
@@ -59,8 +60,8 @@
 
 queued_request class_queue::pop(time_point now)
 {
-    move_late(now);
-    return take(in_time_.empty() ? late_.front().id : in_time_.front().id);
+    move_late_requests(now);
+    return extract(in_time_.empty() ? late_.front().id : in_time_.front().id);
 }
 
 std::optional<expired_request> class_queue::expire(time_point now)
@@ -71,12 +72,12 @@
     const milliseconds service{service_time_.optimistic_mean(now)};
     const auto [deadline, id] = *by_deadline_.begin();
     if (deadline <= now + service) {
-        return expired_request{take(id), reason_code::deadline_unmeetable};
+        return expired_request{extract(id), reason_code::deadline_unmeetable};
     }
-    move_late(now);
+    move_late_requests(now);
     if (!late_.empty() && overloaded(now)) {
         note_overload_refusal(now);
-        return expired_request{take(late_.front().id), reason_code::queue_timeout};
+        return expired_request{extract(late_.front().id), reason_code::queue_timeout};
     }
     return std::nullopt;
 }
@@ -86,7 +87,7 @@
     if (empty()) {
         return std::nullopt;
     }
-    return take(by_deadline_.begin()->second);
+    return extract(by_deadline_.begin()->second);
 }
 
 std::optional<time_point> class_queue::next_expiry(time_point now) const
@@ -103,7 +104,7 @@
 
 std::size_t class_queue::requests_ahead(time_point now)
 {
-    move_late(now);
+    move_late_requests(now);
     return in_time_.size();
 }
 
@@ -131,7 +132,7 @@
     return config_.latency_target * overload_interval_targets;
 }
 
-void class_queue::move_late(time_point now)
+void class_queue::move_late_requests(time_point now)
 {
     const auto slack = target_slack(now);
     while (!in_time_.empty() && in_time_.front().arrived + slack < now) {
@@ -140,12 +141,12 @@
     }
 }
 
-queued_request class_queue::take(std::uint64_t id)
+queued_request class_queue::extract(std::uint64_t id)
 {
     const auto found = positions_.find(id);
-    const auto [late, at] = found->second;
-    const auto request = *at;
-    (late ? late_ : in_time_).erase(at);
+    const auto [late, request_at] = found->second;
+    const auto request = *request_at;
+    (late ? late_ : in_time_).erase(request_at);
     by_deadline_.erase({request.deadline, id});
     positions_.erase(found);
     if (empty()) {
