--- a/include/chestnutstand/admission/concurrency_limit.h
+++ b/include/chestnutstand/admission/concurrency_limit.h
@@ -9,23 +9,24 @@
 
 namespace chestnutstand {
 
-/// What the end of a request tells about the upstream.
+/// What the end of a request reveals about the load of the upstream.
 enum class sample_kind : std::uint8_t {
     completed,     ///< The latency is that of a whole response.
     timed_out,     ///< The latency is a lower bound.
     shed,          ///< The upstream refused the request because of its load.
-    uninformative, ///< Cancelled, failed or not sent; tells nothing about the load.
+    uninformative, ///< Cancelled, failed or not sent; reveals nothing about the load.
 };
 
-/// One ended request, as seen by the executor.
+/// A finished request, as measured by the executor.
 struct upstream_sample {
     sample_kind kind = sample_kind::uninformative;
     milliseconds latency{0};
 };
 
-/// Number of requests that may run on the upstream at once. Starts at the registered slot count and
-/// never exceeds it. Load-shedding responses and response times well above their baseline lower it,
-/// never below one; windows of ordinary responses at full use raise it again by one each. Pure.
+/// Adaptive limit on the number of requests that run on the upstream at once. It starts at the
+/// registered number of slots and never exceeds it. Load-shedding responses and latencies well
+/// above their baseline lower it, but not below one. Each window of normal latencies during which
+/// the limit was fully used raises it by one. Does no I/O and reads no clock. Not thread-safe.
 class concurrency_limit {
 public:
     struct observation {
@@ -33,7 +34,7 @@
         /// Classes have different service times, so each has its own baseline.
         std::size_t priority = 0;
         time_point started;
-        /// Requests that were running when this one ended, itself included.
+        /// Requests that were running when this one ended, including this one.
         std::uint32_t in_flight = 0;
     };
 
@@ -42,22 +43,24 @@
     std::uint32_t value() const { return limit_; }
     std::uint32_t slots() const { return slots_; }
 
-    /// Follows a changed registration. A limit that was at its upper bound stays there.
+    /// Applies the slots of a changed registration. A limit that equals the number of slots follows
+    /// it; a lower limit is not raised.
     void set_slots(std::uint32_t slots);
 
-    /// Forgets what is known of response times, for example when the classes have changed.
+    /// Discards the latency baselines and the current window, for example after the classes
+    /// changed.
     void reset_baselines();
 
-    void observe(const observation& seen, time_point now);
+    void observe(const observation& observed, time_point now);
 
 private:
     struct class_window {
         double latency_sum_ms = 0.0;
         std::uint32_t count = 0;
-        /// Usual mean latency; zero while unknown.
+        /// Usual mean latency; zero until one has been measured.
         double baseline_ms = 0.0;
     };
-    /// Series of decreases with one cause, for the check that they help.
+    /// State before a series of decreases, to check whether they reduce the latency.
     struct congestion {
         std::uint32_t limit_before = 0;
         double ratio_before = 0.0;
--- a/lib/admission/concurrency_limit.cpp
+++ b/lib/admission/concurrency_limit.cpp
@@ -5,23 +5,26 @@
 namespace chestnutstand {
 namespace {
 
-// The mean of 32 exponentially distributed latencies varies by a sixth of itself, so that chance
-// alone hardly ever doubles it. With 16, the limit was below the slots for 5% of the time without
-// any congestion.
+// The mean of 32 exponentially distributed latencies has a relative standard deviation of about one
+// sixth, so random variation very rarely doubles it. With 16 samples, the limit was below the slots
+// for 5% of the time without any congestion.
 constexpr std::uint32_t min_window_samples = 32;
+// Rounds of as many samples as the limit.
 constexpr std::uint32_t window_rounds = 4;
 constexpr double congested_ratio = 2.0;
-// Below this ratio the limit may grow; between the two it is kept, so that it does not oscillate.
+// The limit may grow below this ratio. Between this and congested_ratio it is kept, so that it does
+// not oscillate.
 constexpr double uncongested_ratio = 1.5;
 constexpr double shed_decrease_factor = 0.7;
 constexpr double latency_decrease_factor = 0.8;
-// When half of the concurrency does not lower the latency by at least a quarter, the latency does
-// not come from our concurrency, and a lower limit would only lose throughput.
+// If halving the concurrency does not lower the latency by at least a quarter, the concurrency is
+// not the cause of the latency, and a lower limit would only reduce the throughput.
 constexpr double effective_decrease_ratio = 0.75;
-// Falling much faster than it rises would pull the baseline below the mean of varying latencies.
-constexpr double baseline_fall = 0.1;
-constexpr double baseline_rise = 0.05;
-// Every growth past the upstream's real capacity costs a shed request; this bounds their rate.
+// A baseline that falls much faster than it rises would settle below the mean of varying latencies.
+constexpr double baseline_fall_gain = 0.1;
+constexpr double baseline_rise_gain = 0.05;
+// Each increase beyond the actual capacity of the upstream causes a shed request; the pause limits
+// the rate of these.
 constexpr milliseconds growth_pause_after_shed{1000};
 
 } // namespace
@@ -45,13 +48,13 @@
     clear_window();
 }
 
-void concurrency_limit::observe(const observation& seen, time_point now)
+void concurrency_limit::observe(const observation& observed, time_point now)
 {
-    // A request that started before the last decrease tells about the limit before it.
-    if (last_decrease_ && seen.started < *last_decrease_) {
+    // The latency of a request that started before the last decrease reflects the previous limit.
+    if (last_decrease_ && observed.started < *last_decrease_) {
         return;
     }
-    switch (seen.sample.kind) {
+    switch (observed.sample.kind) {
     case sample_kind::uninformative:
         return;
     case sample_kind::shed:
@@ -62,14 +65,14 @@
     case sample_kind::timed_out:
         break;
     }
-    if (classes_.size() <= seen.priority) {
-        classes_.resize(seen.priority + 1);
+    if (classes_.size() <= observed.priority) {
+        classes_.resize(observed.priority + 1);
     }
-    auto& window = classes_[seen.priority];
-    window.latency_sum_ms += seen.sample.latency.count();
+    auto& window = classes_[observed.priority];
+    window.latency_sum_ms += observed.sample.latency.count();
     ++window.count;
     ++window_count_;
-    window_peak_ = std::max(window_peak_, seen.in_flight);
+    window_peak_ = std::max(window_peak_, observed.in_flight);
     if (window_count_ >= window_size()) {
         close_window(now);
     }
@@ -78,9 +81,9 @@
     }
 }
 
-/// After rejections that have ended, the samples of a whole window take a low limit so long that
-/// its queue refuses nearly everything meanwhile. A few calm rounds are enough to try one slot
-/// more.
+/// Raises a lowered limit by one after a few rounds without congestion. After the upstream has
+/// stopped shedding requests, filling a whole window takes so long at a low limit that the
+/// admission queue would refuse nearly all requests meanwhile.
 void concurrency_limit::grow_early(time_point now)
 {
     if (limit_ >= slots_ || congestion_ || window_count_ < window_rounds * limit_ ||
@@ -92,7 +95,7 @@
     ++limit_;
 }
 
-/// Whether the limit was fully used and the upstream has not shed requests lately.
+/// Whether the limit was fully used in this window and the upstream has not shed requests recently.
 bool concurrency_limit::may_grow(time_point now) const
 {
     return window_peak_ >= limit_ && (!last_shed_ || now - *last_shed_ >= growth_pause_after_shed);
@@ -122,7 +125,8 @@
     }
 }
 
-/// Mean of latency / baseline over the samples of the window.
+/// Mean of latency / baseline over the samples of the window. The first window of a class sets its
+/// baseline.
 double concurrency_limit::latency_ratio()
 {
     double sum = 0.0;
@@ -145,12 +149,13 @@
             continue;
         }
         const double difference = window.latency_sum_ms / window.count - window.baseline_ms;
-        const double trust = std::min(1.0, window.count / static_cast<double>(min_window_samples));
+        const double confidence =
+            std::min(1.0, window.count / static_cast<double>(min_window_samples));
         if (difference < 0.0) {
-            window.baseline_ms += difference * baseline_fall * trust;
+            window.baseline_ms += difference * baseline_fall_gain * confidence;
         }
         else if (!congested) {
-            window.baseline_ms += difference * baseline_rise * trust;
+            window.baseline_ms += difference * baseline_rise_gain * confidence;
         }
     }
 }
@@ -166,11 +171,12 @@
         return;
     }
     if (ratio <= effective_decrease_ratio * congestion_->ratio_before) {
-        // Lowering the limit helps; the next halving has to show it again.
+        // Lowering the limit reduced the latency. The check repeats after the next halving.
         congestion_ = congestion{limit_, ratio};
         decrease(latency_decrease_factor, now);
         return;
     }
+    // The latency does not depend on the limit, so the current latency becomes the baseline.
     for (auto& window : classes_) {
         window.baseline_ms *= ratio;
     }
