--- a/include/chestnutstand/admission/decaying_mean.h
+++ b/include/chestnutstand/admission/decaying_mean.h
@@ -7,14 +7,14 @@
 
 namespace chestnutstand {
 
-/// Factor by which something that loses half of itself per half-life shrinks in the given time.
+/// Factor of an exponential decay over the elapsed time; 1 if that is negative.
 inline double decay_factor(milliseconds elapsed, milliseconds half_life)
 {
     return std::exp2(-std::max(0.0, elapsed / half_life));
 }
 
-/// Moving average that loses its confidence while no samples arrive, so that a decision based on it
-/// cannot cut off the samples that would correct it.
+/// Moving average whose confidence decays while no samples arrive. Otherwise a decision based on a
+/// high mean, such as refusing all requests, could prevent the samples that would correct it.
 class decaying_mean {
 public:
     decaying_mean(double memory_samples, milliseconds half_life)
@@ -30,16 +30,18 @@
         last_ = now;
     }
 
-    /// The mean of the last samples, whatever their age.
+    /// Mean of the last samples, regardless of their age.
     double mean() const { return mean_; }
 
-    /// The mean, shrinking towards zero since the last sample; zero before the first.
+    /// The mean, decaying towards zero with the time since the last sample; zero before the first
+    /// sample.
     double optimistic_mean(time_point now) const
     {
         return mean_ * decay_factor(now - last_, half_life_);
     }
 
-    /// The mean, moving towards the prior as the samples age; the prior before the first sample.
+    /// Weighted average of the mean and the prior, which gains weight as the samples age; the prior
+    /// before the first sample.
     double blended_mean(double prior, time_point now) const
     {
         const double confidence = std::min(1.0, weight_ * decay_factor(now - last_, half_life_));
@@ -54,7 +56,7 @@
     time_point last_{};
 };
 
-/// Rate of events per millisecond, averaged over about the half-life.
+/// Rate of events per millisecond, as an exponentially weighted average with the given half-life.
 class decaying_rate {
 public:
     explicit decaying_rate(milliseconds half_life) : half_life_{half_life} {}
@@ -67,7 +69,8 @@
 
     double per_ms(time_point now) const
     {
-        // The weights of past events sum to half_life / ln 2.
+        // At a constant rate of one event per millisecond, the weights of past events sum to
+        // half_life / ln 2.
         constexpr double ln2 = 0.6931471805599453;
         return events_ * decay_factor(now - last_, half_life_) * ln2 / half_life_.count();
     }
--- a/include/chestnutstand/admission/probe_budget.h
+++ b/include/chestnutstand/admission/probe_budget.h
@@ -5,33 +5,33 @@
 
 namespace chestnutstand {
 
-/// Permits for requests that only measure an upstream: a rate without a burst, empty at start, and
-/// one at a time. It takes nothing but the time, so that neither queues nor failures can raise the
-/// rate. Pure.
+/// Rate limit for requests that only measure an upstream: a token bucket of one token that starts
+/// empty, with at most one probe in flight. It depends on the time alone, so neither queue length
+/// nor failures can raise the rate. Does no I/O and reads no clock. Not thread-safe.
 class probe_budget {
 public:
-    probe_budget(double probes_per_s, time_point now) : tokens_{probes_per_s, burst, now} {}
+    probe_budget(double probes_per_s, time_point now) : tokens_{probes_per_s, burst_tokens, now} {}
 
-    /// Whether a probe may be sent now; if so it counts as sent and running.
+    /// Begins a probe if one may be sent now; false otherwise.
     bool try_begin(time_point now)
     {
-        if (running_ || !tokens_.try_take(now)) {
+        if (in_flight_ || !tokens_.try_take(now)) {
             return false;
         }
-        running_ = true;
+        in_flight_ = true;
         return true;
     }
 
-    /// The running probe has ended, in whatever way.
-    void end() { running_ = false; }
+    /// Ends the probe in flight, whether it succeeded or failed.
+    void end() { in_flight_ = false; }
 
     void set_rate(double probes_per_s, time_point now) { tokens_.set_rate(probes_per_s, now); }
 
 private:
-    static constexpr double burst = 1.0;
+    static constexpr double burst_tokens = 1.0;
 
     token_bucket tokens_;
-    bool running_ = false;
+    bool in_flight_ = false;
 };
 
 } // namespace chestnutstand
--- a/lib/admission/reported_load.cpp
+++ b/lib/admission/reported_load.cpp
@@ -5,13 +5,13 @@
 namespace chestnutstand {
 namespace {
 
-constexpr double usual_pace = 100.0;
+constexpr double usual_pace_percent = 100.0;
 
-/// Reads one number off the front; what is left begins with its separator.
+/// Parses a number at the start of the text and removes it from the text.
 template <typename Number>
-bool take_number(std::string_view& text, Number& into)
+bool consume_number(std::string_view& text, Number& value)
 {
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), into);
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc{}) {
         return false;
     }
@@ -19,7 +19,7 @@
     return true;
 }
 
-bool take_separator(std::string_view& text)
+bool consume_separator(std::string_view& text)
 {
     if (text.empty() || text.front() != ',') {
         return false;
@@ -34,14 +34,14 @@
 {
     reported_load load;
     for (std::uint32_t* count : {&load.running, &load.waiting, &load.slots}) {
-        if (!take_number(text, *count) || !take_separator(text)) {
+        if (!consume_number(text, *count) || !consume_separator(text)) {
             return std::nullopt;
         }
     }
-    if (!take_number(text, load.pace) || !text.empty() || load.pace <= 0.0) {
+    if (!consume_number(text, load.pace) || !text.empty() || load.pace <= 0.0) {
         return std::nullopt;
     }
-    load.pace /= usual_pace;
+    load.pace /= usual_pace_percent;
     return load;
 }
 
