--- a/include/chestnutstand/admission/upstream_slowdown.h
+++ b/include/chestnutstand/admission/upstream_slowdown.h
@@ -6,39 +6,42 @@
 
 namespace chestnutstand {
 
-/// How long work takes on the VM of an upstream at this moment, compared with its usual time.
+/// Tracks the current service time on the VM of an upstream relative to its usual service time.
 ///
-/// Load pattern: neighbours on the same hardware that slow a VM down several times for some hundred
-/// milliseconds. A request that starts then takes several times as long to its end, also when the
-/// neighbours have become quiet meanwhile, so that the start is what has to be decided well.
+/// Load pattern: other VMs on the same hardware slow a VM down by a factor of several for some
+/// hundred milliseconds. A request that starts during such a phase takes several times as long
+/// until its end, even if the phase ends meanwhile, so the decision that matters is when to start
+/// it.
 ///
-/// The upstream reports a factor with its responses. It is compared with the lowest one of the last
-/// seconds: a VM that is always slow is a matter of its measured latency. Pure.
+/// The upstream reports a factor with its responses. It is divided by the lowest factor of the last
+/// few seconds, so that a VM that is permanently slow does not count as slowed down; its measured
+/// latency accounts for that. Does no I/O and reads no clock. Not thread-safe.
 class upstream_slowdown {
 public:
-    /// Takes a reported factor, 1 for the usual time.
+    /// Records a reported factor; 1 is the usual service time.
     void observe(double factor, time_point now);
 
-    /// Current factor relative to the usual one; 1 when nothing recent is known.
+    /// Last reported factor relative to the usual one; 1 if there is no recent report.
     double factor(time_point now) const;
 
-    /// Whether work that starts now would take clearly longer than usual.
+    /// Whether a request that starts now would take much longer than usual.
     bool slow(time_point now) const;
 
-    /// Whether the last report still says something about this moment.
+    /// Whether the last report is recent enough to still describe the present.
     bool has_recent_report(time_point now) const;
 
-    /// Whether the upstream was slow when it was last heard of and that is a while ago.
+    /// Whether the upstream was slow at its last report and that report is old enough to send a
+    /// probe for a new one.
     bool needs_refresh(time_point now) const;
 
 private:
-    double usual() const;
+    double usual_factor() const;
 
-    double last_ = 1.0;
+    double last_factor_ = 1.0;
     std::optional<time_point> observed_at_;
-    /// Lowest factors of the current and of the previous period.
-    double lowest_ = 1.0;
-    double previous_lowest_ = 1.0;
+    /// Lowest factors of the current and of the previous baseline period.
+    double lowest_factor_ = 1.0;
+    double previous_lowest_factor_ = 1.0;
     time_point period_start_;
 };
 
--- a/lib/admission/upstream_slowdown.cpp
+++ b/lib/admission/upstream_slowdown.cpp
@@ -5,15 +5,15 @@
 namespace chestnutstand {
 namespace {
 
-/// Below this factor, placing a call elsewhere costs more than it saves.
+/// Below this factor, moving a call to another member costs more than it saves.
 constexpr double slow_factor = 1.5;
-/// A report that is older says nothing about this moment.
-constexpr milliseconds memory{1'000};
-/// Age from which a report of a slow upstream is worth a request that only measures.
+/// An older report is no longer used.
+constexpr milliseconds max_report_age{1'000};
+/// Age from which a report of a slow upstream is refreshed with a probe.
 constexpr milliseconds refresh_after{60};
-/// Slow phases last some hundred milliseconds, so that one rarely begins within this time.
+/// Slow phases last some hundred milliseconds, so one rarely begins within this time.
 constexpr milliseconds recent_report_age{50};
-/// Time over which the lowest factor counts as the usual one.
+/// The usual factor is the lowest one of the current and the previous period of this length.
 constexpr milliseconds baseline_period{2'000};
 constexpr double min_reported_factor = 0.01;
 
@@ -23,30 +23,30 @@
 {
     factor = std::max(factor, min_reported_factor);
     if (!observed_at_) {
-        lowest_ = previous_lowest_ = factor;
+        lowest_factor_ = previous_lowest_factor_ = factor;
         period_start_ = now;
     }
     if (now - period_start_ >= baseline_period) {
-        previous_lowest_ = lowest_;
-        lowest_ = factor;
+        previous_lowest_factor_ = lowest_factor_;
+        lowest_factor_ = factor;
         period_start_ = now;
     }
-    lowest_ = std::min(lowest_, factor);
-    last_ = factor;
+    lowest_factor_ = std::min(lowest_factor_, factor);
+    last_factor_ = factor;
     observed_at_ = now;
 }
 
-double upstream_slowdown::usual() const
+double upstream_slowdown::usual_factor() const
 {
-    return std::min(lowest_, previous_lowest_);
+    return std::min(lowest_factor_, previous_lowest_factor_);
 }
 
 double upstream_slowdown::factor(time_point now) const
 {
-    if (!observed_at_ || now - *observed_at_ > memory) {
+    if (!observed_at_ || now - *observed_at_ > max_report_age) {
         return 1.0;
     }
-    return last_ / usual();
+    return last_factor_ / usual_factor();
 }
 
 bool upstream_slowdown::slow(time_point now) const
