--- a/unittests/admission/admission_properties_test.cpp
+++ b/unittests/admission/admission_properties_test.cpp
@@ -30,16 +30,19 @@
 double share_of(const service_config& service, std::size_t priority)
 {
     double sum = 0.0;
-    for (const auto& each : service.priorities) {
-        sum += each.weight;
+    for (const auto& priority_class : service.priorities) {
+        sum += priority_class.weight;
     }
     return service.reserve * service.priorities[priority].weight / sum;
 }
 
-/// Drives a queue with random operations and follows the state of every request.
-class driver {
+/// Applies random operations to a queue and tracks the state of every request.
+class random_driver {
 public:
-    driver() : service{random_service()}, queue{service, *rc::gen::inRange<std::uint32_t>(1, 12)} {}
+    random_driver()
+        : service{random_service()}, queue{service, *rc::gen::inRange<std::uint32_t>(1, 12)}
+    {
+    }
 
     void step()
     {
@@ -114,7 +117,7 @@
     void take_decisions()
     {
         while (const auto decision = queue.next(now)) {
-            // Also fails for a request that was refused after its dispatch or handed out twice.
+            // Also fails for a request that was refused after its dispatch or returned twice.
             RC_ASSERT(waiting.erase(decision->id) == 1U);
             if (decision->starts()) {
                 start(decision->id);
@@ -160,36 +163,37 @@
 };
 
 // Guards against requests that are lost, decided twice, refused after their dispatch or started
-// beyond the limit, and against a drain that does not end.
+// beyond the limit, and against a drain that never completes.
 TEST(admission_properties, every_request_ends_exactly_once_within_the_limit)
 {
     EXPECT_TRUE(rc::check([] {
-        driver run;
+        random_driver driver;
         const int steps = *rc::gen::inRange(0, 300);
         for (int i = 0; i < steps; ++i) {
-            run.step();
+            driver.step();
         }
-        run.finish_all();
-        RC_ASSERT(run.ended.size() == run.offered);
+        driver.finish_all();
+        RC_ASSERT(driver.ended.size() == driver.offered);
     }));
 }
 
-/// Keeps given classes backlogged while the slots turn over and counts dispatches by class.
-class flood {
+/// Keeps the given classes backlogged while requests run and end, and counts dispatches by class.
+class backlog_driver {
 public:
-    flood(const service_config& service, std::uint32_t slots)
+    backlog_driver(const service_config& service, std::uint32_t slots)
         : service_{service}, queue_{service, slots}
     {
     }
 
-    /// Offers to a class until it is refused, then ends the request that has run longest.
-    void round(const std::vector<std::size_t>& offering, double step_ms)
+    /// Fills the queues of the classes, then ends the request that has run longest and starts what
+    /// the queue admits.
+    void run_round(const std::vector<std::size_t>& backlogged_classes, double step_ms)
     {
-        for (const auto priority : offering) {
+        for (const auto priority : backlogged_classes) {
             refill(priority);
         }
         if (!backlogged_) {
-            // Dispatches before all classes were backlogged do not count for the shares.
+            // Guaranteed shares apply only to dispatches made while all classes are backlogged.
             backlogged_ = true;
             dispatched.clear();
             total = 0;
@@ -221,7 +225,7 @@
 
     void refill(std::size_t priority)
     {
-        // Deadlines and targets are set aside here; what is tested is the order of service.
+        // The deadline is too late to matter; only the order of service is tested.
         while (queue_.report().queues[priority].length < 2) {
             class_of_[++last_id_] = priority;
             const auto deadline = now_ + milliseconds{1e9};
@@ -255,7 +259,7 @@
     return chosen;
 }
 
-/// Bound of 1 + 1/2 + ... + 1/K + share from the documentation of admission_queue.
+/// The bound H(K) + share from the documentation of admission_queue.
 double share_tolerance(const service_config& service, std::size_t priority)
 {
     double tolerance = share_of(service, priority);
@@ -265,28 +269,28 @@
     return tolerance;
 }
 
-// Guards against a backlogged class that gets less than its guaranteed share, whichever classes
-// flood the queue.
+// Guards against a backlogged class that receives less than its guaranteed share, whichever other
+// classes are backlogged.
 TEST(admission_properties, backlogged_classes_keep_their_share)
 {
     EXPECT_TRUE(rc::check([] {
         const auto service = random_service();
         const auto slots = *rc::gen::inRange<std::uint32_t>(1, 12);
         const auto backlogged = random_classes(service);
-        flood run{service, slots};
+        backlog_driver driver{service, slots};
         for (int i = 0; i < 300; ++i) {
-            run.round(backlogged, *rc::gen::inRange(1, 20));
+            driver.run_round(backlogged, *rc::gen::inRange(1, 20));
             for (const auto priority : backlogged) {
                 const double least =
-                    share_of(service, priority) * run.total - share_tolerance(service, priority);
-                RC_ASSERT(run.dispatched[priority] >= least);
+                    share_of(service, priority) * driver.total - share_tolerance(service, priority);
+                RC_ASSERT(driver.dispatched[priority] >= least);
             }
         }
     }));
 }
 
-// Guards against a less urgent class that starves in a flood of the most urgent one, also when its
-// deadlines are shorter than the wait for its share.
+// Guards against starvation of a less urgent class while the most urgent one overloads the queue,
+// also when its deadlines are shorter than the wait for its share.
 TEST(admission_properties, no_class_starves_even_with_short_deadlines)
 {
     EXPECT_TRUE(rc::check([] {
@@ -304,7 +308,7 @@
         for (int i = 0; i < rounds; ++i) {
             const auto start = [&](std::uint64_t started) {
                 running = started;
-                // The estimates of the first half do not know the flood yet.
+                // During the first half, the estimates do not reflect the overload yet.
                 batch_dispatched += is_batch[started] && i >= rounds / 2 ? 1 : 0;
             };
             for (const bool batch : {false, false, true}) {
--- a/unittests/admission/admission_queue_test.cpp
+++ b/unittests/admission/admission_queue_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::uint32_t slots = 4;
-constexpr upstream_sample no_information{};
+constexpr upstream_sample uninformative_sample{};
 
 service_config three_classes()
 {
@@ -34,7 +34,7 @@
         return last_offer_.result;
     }
 
-    /// Fills all slots; the requests have the ids 1 to slots.
+    /// Fills all slots; in a new queue, the requests have the ids 1 to slots.
     void fill_slots(std::size_t priority)
     {
         for (std::uint32_t i = 0; i < slots; ++i) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Runs requests of a class one after the other.
+    /// Runs requests of a class one at a time, so that the queue measures their service time.
     void measure(std::size_t priority, double service_ms, int count)
     {
         for (int i = 0; i < count; ++i) {
@@ -58,7 +58,8 @@
     offer_result last_offer_;
 };
 
-// Guards against order of arrival or of the document deciding instead of the latency target.
+// Guards against serving classes in order of arrival or of the configuration document instead of by
+// latency target.
 TEST_F(admission_queue_test, serves_the_lowest_target_first)
 {
     fill_slots(urgent);
@@ -67,14 +68,14 @@
     offer(urgent);
     std::vector<std::uint64_t> order;
     for (std::uint64_t id = 1; id <= 3; ++id) {
-        queue_.finish(id, no_information, now_);
+        queue_.finish(id, uninformative_sample, now_);
         order.push_back(queue_.next(now_).value().id);
     }
     EXPECT_EQ(order, (std::vector<std::uint64_t>{slots + 3, slots + 2, slots + 1}));
 }
 
-// Guards against a request that is started although it could only end after its deadline, and
-// against one that waits for its refusal.
+// Guards against starting a request that would end after its deadline, and against queueing a
+// request that is bound to be refused later.
 TEST_F(admission_queue_test, refuses_on_arrival_what_cannot_meet_its_deadline)
 {
     measure(normal, 40, 20);
@@ -90,8 +91,8 @@
     EXPECT_EQ(offer(normal, 200), offer_state::queued);
 }
 
-// Guards against an upstream that stays cut off after it was slow, because refusing everything also
-// stops the measurements.
+// Guards against an upstream that gets no requests after a slow phase: if all requests are refused,
+// the service time is never measured again.
 TEST_F(admission_queue_test, recovers_after_a_slow_phase)
 {
     measure(normal, 3000, 20);
@@ -110,7 +111,7 @@
     EXPECT_EQ(offer(normal, 500), offer_state::admitted);
 }
 
-// Guards against admitting without bound before the first measurement.
+// Guards against queueing without a limit before the first measurement.
 TEST_F(admission_queue_test, bounds_the_wait_before_anything_is_measured)
 {
     fill_slots(urgent);
@@ -123,7 +124,7 @@
     EXPECT_EQ(last_offer_.reason, reason_code::deadline_unmeetable);
 }
 
-// Guards against a queue that grows without bound when no deadline limits it.
+// Guards against a queue that grows without a limit when deadlines are too late to limit it.
 TEST_F(admission_queue_test, bounds_each_class)
 {
     fill_slots(batch);
@@ -136,7 +137,7 @@
     EXPECT_EQ(offer(urgent), offer_state::queued);
 }
 
-// Guards against queued requests that wait for ever while the upstream hangs.
+// Guards against queued requests that wait forever while the upstream hangs.
 TEST_F(admission_queue_test, refuses_queued_requests_at_their_deadline)
 {
     fill_slots(urgent);
@@ -150,7 +151,7 @@
     EXPECT_FALSE(queue_.next(now_));
 }
 
-// Guards against a standing queue in which every request is served late.
+// Guards against a queue that never empties and therefore serves every request late.
 TEST_F(admission_queue_test, drops_late_requests_of_a_standing_queue)
 {
     fill_slots(urgent);
@@ -159,7 +160,7 @@
     elapse(101);
     ASSERT_EQ(offer(urgent), offer_state::queued);
     const auto in_time = last_id_;
-    queue_.finish(1, no_information, now_);
+    queue_.finish(1, uninformative_sample, now_);
     const auto first = queue_.next(now_).value();
     EXPECT_EQ(first.id, late);
     EXPECT_EQ(first.refusal, reason_code::queue_timeout);
@@ -168,8 +169,8 @@
     EXPECT_TRUE(second.starts());
 }
 
-// Guards against spare capacity that is refused to a late request, and against a late request that
-// makes the next one late as well.
+// Guards against refusing a late request while there is spare capacity, and against a late request
+// that delays one that is still in time.
 TEST_F(admission_queue_test, serves_late_requests_of_a_burst_after_those_in_time)
 {
     fill_slots(urgent);
@@ -178,16 +179,16 @@
     elapse(60);
     ASSERT_EQ(offer(urgent), offer_state::queued);
     const auto in_time = last_id_;
-    queue_.finish(1, no_information, now_);
+    queue_.finish(1, uninformative_sample, now_);
     EXPECT_EQ(queue_.next(now_).value().id, in_time);
-    queue_.finish(2, no_information, now_);
+    queue_.finish(2, uninformative_sample, now_);
     const auto decision = queue_.next(now_).value();
     EXPECT_EQ(decision.id, late);
     EXPECT_TRUE(decision.starts());
 }
 
-// Guards against an urgent request that waits behind a full set of slow, less urgent ones, and
-// against slots that stay idle for urgent traffic long gone.
+// Guards against an urgent request that waits because slow, less urgent ones hold all slots, and
+// against slots that are kept idle for urgent traffic that stopped long ago.
 TEST_F(admission_queue_test, keeps_headroom_for_recent_urgent_traffic)
 {
     measure(urgent, 5, 5);
@@ -199,7 +200,7 @@
     EXPECT_FALSE(queue_.next(now_));
     EXPECT_EQ(offer(urgent), offer_state::admitted);
     for (std::uint64_t id = 1; id <= last_id_; ++id) {
-        queue_.finish(id, no_information, now_);
+        queue_.finish(id, uninformative_sample, now_);
     }
     ASSERT_TRUE(queue_.next(now_).value().starts());
     elapse(11'000);
@@ -208,7 +209,7 @@
     }
 }
 
-// Guards against an idle slot that is kept for urgent requests although slots become free quickly.
+// Guards against keeping a slot idle for urgent requests although slots become free quickly.
 TEST_F(admission_queue_test, keeps_no_headroom_when_slots_free_quickly)
 {
     measure(urgent, 5, 5);
@@ -218,8 +219,8 @@
     }
 }
 
-// Guards against a request that is started for a caller who has gone, and against taking a running
-// one for removed.
+// Guards against starting a request whose caller has disconnected, and against reporting a running
+// request as removed.
 TEST_F(admission_queue_test, removes_only_queued_requests)
 {
     fill_slots(urgent);
@@ -227,11 +228,11 @@
     EXPECT_FALSE(queue_.remove(1));
     EXPECT_TRUE(queue_.remove(last_id_));
     EXPECT_FALSE(queue_.remove(last_id_));
-    queue_.finish(1, no_information, now_);
+    queue_.finish(1, uninformative_sample, now_);
     EXPECT_FALSE(queue_.next(now_));
 }
 
-// Guards against requests that are lost or attributed to another class when classes change.
+// Guards against requests that are lost or assigned to another class when the classes change.
 TEST_F(admission_queue_test, keeps_requests_when_classes_change)
 {
     fill_slots(batch);
@@ -252,7 +253,7 @@
     EXPECT_EQ(queue_.next(now_).value().id, kept);
 }
 
-// Guards against new work after the drain began, and against queued work that is dropped by it.
+// Guards against accepting requests after the drain began, and against dropping queued ones.
 TEST_F(admission_queue_test, drains)
 {
     fill_slots(urgent);
@@ -262,16 +263,16 @@
     EXPECT_EQ(offer(urgent), offer_state::refused);
     EXPECT_EQ(last_offer_.reason, reason_code::draining);
     EXPECT_TRUE(queue_.report().draining);
-    queue_.finish(1, no_information, now_);
+    queue_.finish(1, uninformative_sample, now_);
     EXPECT_EQ(queue_.next(now_).value().id, queued);
     for (const auto id : {std::uint64_t{2}, std::uint64_t{3}, std::uint64_t{4}, queued}) {
         EXPECT_FALSE(queue_.idle());
-        EXPECT_TRUE(queue_.finish(id, no_information, now_));
+        EXPECT_TRUE(queue_.finish(id, uninformative_sample, now_));
     }
     EXPECT_TRUE(queue_.idle());
 }
 
-// Guards against load that is reported for the wrong class, which would misdirect other nodes.
+// Guards against reporting load for the wrong class; other nodes would route calls by it.
 TEST_F(admission_queue_test, reports_load_by_class)
 {
     measure(urgent, 8, 3);
@@ -288,8 +289,8 @@
     EXPECT_EQ(load.queues[urgent].length, 0U);
 }
 
-// Guards against requests that start while neighbours slow the VM down, and take several times as
-// long although the VM is back to its pace soon.
+// Guards against starting requests while other VMs slow this one down: they would take several
+// times as long although the VM is soon back to its usual speed.
 TEST_F(admission_queue_test, holds_requests_while_the_upstream_is_slow)
 {
     measure(normal, 100, 20);
@@ -303,8 +304,9 @@
     EXPECT_TRUE(started->starts());
 }
 
-// Guards against a held request that misses its deadline although it could have run slowly.
-TEST_F(admission_queue_test, starts_a_held_request_at_its_last_chance)
+// Guards against a held request that misses its deadline although it could have met it on the slow
+// upstream.
+TEST_F(admission_queue_test, starts_a_held_request_before_it_would_miss_its_deadline)
 {
     measure(normal, 100, 20);
     queue_.set_slowdown(4.0);
@@ -319,7 +321,7 @@
     EXPECT_GT(decision->waited, milliseconds{100});
 }
 
-// Guards against short requests that are held although they meet their target on a slow upstream.
+// Guards against holding short requests that meet their latency target on a slow upstream.
 TEST_F(admission_queue_test, starts_what_meets_its_target_on_a_slow_upstream)
 {
     measure(batch, 20, 20);
--- a/unittests/admission/concurrency_limit_test.cpp
+++ b/unittests/admission/concurrency_limit_test.cpp
@@ -13,7 +13,7 @@
 constexpr std::uint32_t slots = 10;
 using latency_model = std::function<double(std::uint32_t in_flight)>;
 
-/// Runs rounds in which the limit is fully used and every request takes the latency of the model.
+/// Runs rounds in which the limit is fully used and every request has the latency of the model.
 void run_rounds(concurrency_limit& limit, time_point& now, int rounds, const latency_model& model)
 {
     for (int round = 0; round < rounds; ++round) {
@@ -32,8 +32,8 @@
     return 20.0;
 }
 
-// Guards against a limit of zero, which would stop the upstream for good, and against one above the
-// registered slots.
+// Guards against a limit of zero, with which the upstream would never get a request again, and
+// against one above the registered slots.
 TEST(concurrency_limit, stays_between_one_and_the_slots)
 {
     EXPECT_TRUE(rc::check([] {
@@ -52,8 +52,8 @@
     }));
 }
 
-// Guards against continued load on an upstream that sheds it, and against a limit that never
-// recovers or recovers at once.
+// Guards against a limit that does not fall while the upstream sheds load, and against one that
+// never recovers or recovers at once.
 TEST(concurrency_limit, falls_on_shedding_and_recovers_gradually)
 {
     concurrency_limit limit{slots};
@@ -72,8 +72,8 @@
     EXPECT_EQ(limit.value(), slots);
 }
 
-// Guards against a limit that stays so low after the upstream has stopped to shed that the queue
-// refuses nearly everything for many seconds.
+// Guards against a limit that stays low after the upstream has stopped shedding load, so that the
+// queue refuses nearly all requests for many seconds.
 TEST(concurrency_limit, is_back_within_seconds_after_shedding_has_ended)
 {
     concurrency_limit limit{slots};
@@ -91,7 +91,7 @@
     EXPECT_LE((now - ended).count(), 2'000.0) << "a pause of 1 s, then four rounds for each slot";
 }
 
-// Guards against one burst of shed requests that is counted as many reasons to decrease.
+// Guards against decreasing the limit several times for one burst of shed requests.
 TEST(concurrency_limit, falls_once_per_burst)
 {
     concurrency_limit limit{slots};
@@ -103,8 +103,8 @@
     EXPECT_EQ(limit.value(), 7U);
 }
 
-// Guards against an upstream with fewer cores than slots being kept saturated: its latency grows
-// with the concurrency, so less of it costs no throughput.
+// Guards against saturating an upstream with fewer cores than slots: its latency grows with the
+// concurrency, so a lower limit costs no throughput.
 TEST(concurrency_limit, falls_when_latency_follows_concurrency)
 {
     concurrency_limit limit{slots};
@@ -116,8 +116,8 @@
     EXPECT_GE(limit.value(), 2U);
 }
 
-// Guards against a limit above the slots of a changed registration, and against a limit that was
-// lowered for a reason being raised by a registration.
+// Guards against a limit above the slots of a changed registration, and against a registration that
+// raises a limit lowered by shedding or latency.
 TEST(concurrency_limit, follows_the_registration)
 {
     concurrency_limit limit{slots};
@@ -130,7 +130,7 @@
     EXPECT_EQ(limit.value(), 2U);
 }
 
-// Guards against throughput lost for nothing when the upstream is slow at any concurrency.
+// Guards against losing throughput to a lower limit when the upstream is slow at any concurrency.
 TEST(concurrency_limit, returns_when_lower_concurrency_does_not_help)
 {
     concurrency_limit limit{slots};
@@ -145,7 +145,7 @@
     EXPECT_EQ(limit.value(), slots);
 }
 
-// Guards against a larger part of slow classes being taken for congestion.
+// Guards against mistaking a larger fraction of requests of slow classes for congestion.
 TEST(concurrency_limit, does_not_confuse_classes_with_congestion)
 {
     concurrency_limit limit{slots};
@@ -159,8 +159,8 @@
     }
 }
 
-// Guards against the random variation of service times being taken for congestion: a limit that is
-// lowered now and then without cause loses throughput.
+// Guards against mistaking the random variation of service times for congestion: a limit that is
+// lowered without cause loses throughput.
 TEST(concurrency_limit, tolerates_random_variation)
 {
     concurrency_limit limit{slots};
--- a/unittests/admission/load_prober_test.cpp
+++ b/unittests/admission/load_prober_test.cpp
@@ -10,7 +10,7 @@
 namespace chestnutstand {
 namespace {
 
-/// Keeps requests until the test answers them.
+/// Holds requests until the test responds to them.
 class fake_client : public http_client {
 public:
     request_id send(const std::string& /*base_url*/, http_request request, milliseconds timeout,
@@ -23,7 +23,7 @@
     }
     void cancel(request_id /*id*/) override {}
 
-    void answer(const http_result& result)
+    void respond(const http_result& result)
     {
         const auto done = std::move(pending.front());
         pending.erase(pending.begin());
@@ -35,24 +35,24 @@
     std::vector<http_done> pending;
 };
 
-http_result body(std::string text)
+http_result ok_response(std::string body)
 {
-    return {http_error::none, {200, {}, std::move(text)}, milliseconds{1}};
+    return {http_error::none, {200, {}, std::move(body)}, milliseconds{1}};
 }
 
-void answer_randomly(fake_client& client)
+void respond_randomly(fake_client& client)
 {
     if (client.pending.empty() || *rc::gen::inRange(0, 3) == 0) {
         return;
     }
     const auto error = static_cast<http_error>(*rc::gen::inRange(0, 8));
     const int status = *rc::gen::element(200, 404, 500, 503);
-    client.answer({error, {status, {}, R"({"in_flight":1,"slots":4})"}, milliseconds{1}});
+    client.respond({error, {status, {}, R"({"in_flight":1,"slots":4})"}, milliseconds{1}});
 }
 
-// Guards against measurement beyond its budget, whatever the polling rate, failures, late responses
-// and restarts. Queue length and request rate are not even known to the prober; a node that polls
-// after every call is covered by the short intervals.
+// Guards against probes beyond the budget at any polling rate and after failures, late responses
+// and restarts. Queue length and request rate are no inputs of the prober; the short intervals
+// cover a node that polls after every call.
 TEST(load_prober, never_exceeds_its_budget)
 {
     EXPECT_TRUE(rc::check([] {
@@ -71,10 +71,10 @@
             if (client.pending.size() > before) {
                 sent.push_back(now);
             }
-            answer_randomly(client);
+            respond_randomly(client);
             switch (*rc::gen::inRange(0, 10)) {
             case 0:
-                // A restarted process knows nothing of its predecessor.
+                // A restarted process keeps no state.
                 client.pending.clear();
                 prober = std::make_unique<load_prober>(client, rate, now);
                 break;
@@ -94,7 +94,7 @@
     }));
 }
 
-// Guards against a start that measures at once; a node that restarts in a loop would then exceed
+// Guards against a probe directly after the start; a node that restarts in a loop would then exceed
 // the budget.
 TEST(load_prober, starts_without_budget)
 {
@@ -107,7 +107,7 @@
     EXPECT_EQ(prober.sent(), 1U);
 }
 
-// Guards against probes that pile up on an upstream that does not answer.
+// Guards against probes that accumulate on an upstream that does not respond.
 TEST(load_prober, keeps_one_probe_in_flight)
 {
     fake_client client;
@@ -120,13 +120,14 @@
     }
     EXPECT_EQ(client.last_request.target, "/load");
     EXPECT_EQ(client.last_timeout, milliseconds{1000});
-    client.answer({http_error::timed_out, {}, milliseconds{1000}});
+    client.respond({http_error::timed_out, {}, milliseconds{1000}});
     prober.poll("http://127.0.0.1:1", now);
     EXPECT_EQ(prober.sent(), 2U);
 }
 
-// Guards against a malformed or failed response that stops the process or replaces a good one.
-TEST(load_prober, ignores_responses_that_it_cannot_read)
+// Guards against a malformed or failed response that crashes the process or replaces the last valid
+// load.
+TEST(load_prober, ignores_malformed_and_failed_responses)
 {
     fake_client client;
     time_point now{milliseconds{500}};
@@ -134,13 +135,13 @@
     const auto exchange = [&](const http_result& result) {
         now += milliseconds{10};
         prober.poll("http://127.0.0.1:1", now);
-        client.answer(result);
+        client.respond(result);
     };
-    exchange(body("{"));
-    exchange(body("[]"));
-    exchange(body(R"({"in_flight":-1,"slots":"x"})"));
+    exchange(ok_response("{"));
+    exchange(ok_response("[]"));
+    exchange(ok_response(R"({"in_flight":-1,"slots":"x"})"));
     EXPECT_FALSE(prober.last());
-    exchange(body(R"({"in_flight":3,"slots":10})"));
+    exchange(ok_response(R"({"in_flight":3,"slots":10})"));
     ASSERT_TRUE(prober.last());
     EXPECT_EQ(prober.last()->in_flight, 3U);
     exchange({http_error::timed_out, {}, milliseconds{1000}});
--- a/unittests/admission/reported_load_test.cpp
+++ b/unittests/admission/reported_load_test.cpp
@@ -5,8 +5,8 @@
 namespace chestnutstand {
 namespace {
 
-// Guards against figures that change places.
-TEST(reported_load, reads_its_four_figures)
+// Guards against fields that are assigned in the wrong order.
+TEST(reported_load, parses_its_four_fields)
 {
     const auto load = parse_reported_load("3,1,8,250");
     ASSERT_TRUE(load);
@@ -19,8 +19,8 @@
     EXPECT_FALSE(parse_reported_load("8,0,8,100")->has_free_slot());
 }
 
-// Guards against a damaged header that is taken for a load.
-TEST(reported_load, refuses_other_forms)
+// Guards against parsing a malformed header as a load.
+TEST(reported_load, rejects_malformed_text)
 {
     for (const char* text : {"", "3,0,8", "3,0,8,", "3,0,8,100,1", "3,0,8,0", "3,0,8,-1",
                              "-3,0,8,100", "a,0,8,100", "3;0;8;100", "3,0,8,100 "}) {
--- a/unittests/admission/retry_delay_test.cpp
+++ b/unittests/admission/retry_delay_test.cpp
@@ -5,7 +5,7 @@
 namespace chestnutstand {
 namespace {
 
-// Guards against refused callers that come back too late for their target, or all at once.
+// Guards against refused callers that retry too late for their latency target, or all at once.
 TEST(retry_delay, leaves_time_to_be_served_and_spreads_the_callers)
 {
     const milliseconds target{800};
