--- a/include/chestnutstand/keys/executor_keys.h
+++ b/include/chestnutstand/keys/executor_keys.h
@@ -19,7 +19,7 @@
         answered, ///< Send the result; nothing else is to be done.
     };
 
-    kind what = kind::answered;
+    kind action = kind::answered;
     /// Names the key in the later calls.
     key_id id;
     /// Set when the call is answered at once.
--- a/lib/node/executor.cpp
+++ b/lib/node/executor.cpp
@@ -196,11 +196,11 @@
     }
     auto decision =
         keys_.enqueue(call.idempotency_key, request_fingerprint(call.request), done, now);
-    if (decision.what == execution_decision::kind::answered) {
+    if (decision.action == execution_decision::kind::answered) {
         decision.result.load = report();
         done(std::move(decision.result));
     }
-    else if (decision.what == execution_decision::kind::run) {
+    else if (decision.action == execution_decision::kind::run) {
         offer(target_instance, std::move(call), decision.id, done, now);
     }
 }
--- a/unittests/keys/executor_keys_test.cpp
+++ b/unittests/keys/executor_keys_test.cpp
@@ -30,7 +30,7 @@
 TEST_F(executor_keys_test, fence_wins_against_a_queued_call)
 {
     const auto queued = enqueue();
-    ASSERT_EQ(queued.what, execution_decision::kind::run);
+    ASSERT_EQ(queued.action, execution_decision::kind::run);
     EXPECT_EQ(settle(), settle_state::fenced);
     EXPECT_FALSE(keys.start(queued.id));
     ASSERT_EQ(answers.size(), 1U);
@@ -43,7 +43,7 @@
 {
     EXPECT_EQ(settle(), settle_state::fenced);
     const auto late = enqueue();
-    EXPECT_EQ(late.what, execution_decision::kind::answered);
+    EXPECT_EQ(late.action, execution_decision::kind::answered);
     EXPECT_EQ(late.result.outcome, call_outcome::not_run);
 }
 
@@ -54,7 +54,7 @@
     ASSERT_TRUE(keys.start(queued.id));
     EXPECT_EQ(settle(), settle_state::running);
     keys.refuse(queued.id, reason_code::queue_timeout, {});
-    EXPECT_EQ(enqueue().what, execution_decision::kind::attached);
+    EXPECT_EQ(enqueue().action, execution_decision::kind::attached);
     keys.finish(queued.id, {call_outcome::completed, reason_code::none, {200, {}, "x"}, {}}, {});
     EXPECT_EQ(answers.size(), 2U);
     EXPECT_EQ(keys.settle(key, {})->response.body, "x");
--- a/unittests/keys/key_simulation.cpp
+++ b/unittests/keys/key_simulation.cpp
@@ -214,11 +214,11 @@
             }
         });
     }
-    if (decision.what == execution_decision::kind::answered) {
+    if (decision.action == execution_decision::kind::answered) {
         done(std::move(decision.result));
         return;
     }
-    if (decision.what == execution_decision::kind::run) {
+    if (decision.action == execution_decision::kind::run) {
         pending_.push_back([this, self, id = decision.id, call] { take_slot(self, id, call); });
     }
 }
