--- a/include/chestnutstand/keys/key_table.h
+++ b/include/chestnutstand/keys/key_table.h
@@ -71,7 +71,7 @@
 struct key_admission {
     enum class kind : std::uint8_t { admitted, attached, answered };
 
-    kind what = kind::answered;
+    kind status = kind::answered;
     /// Identifies the waiter of an admitted or attached call.
     std::uint64_t ticket = 0;
     /// Set when the call is answered at once.
--- a/lib/keys/executor_keys.cpp
+++ b/lib/keys/executor_keys.cpp
@@ -25,7 +25,7 @@
     const key_id id = id_of(*key);
     const std::lock_guard lock{mutex_};
     key_admission admitted = table_.admit(id, request, std::move(done), now);
-    switch (admitted.what) {
+    switch (admitted.status) {
     case key_admission::kind::admitted:
         return {kind::run, id, {}};
     case key_admission::kind::attached:
--- a/lib/keys/key_owner.cpp
+++ b/lib/keys/key_owner.cpp
@@ -81,7 +81,7 @@
     }
     key_admission admitted =
         table_.admit(id, request_fingerprint(call.request), std::move(done), now);
-    if (admitted.what == key_admission::kind::admitted) {
+    if (admitted.status == key_admission::kind::admitted) {
         table_.start(id);
     }
     return admitted;
@@ -104,12 +104,12 @@
     }
     const time_point now = environment_.now();
     key_admission admitted = admit(*key, call, done, now);
-    if (admitted.what == key_admission::kind::answered) {
+    if (admitted.status == key_admission::kind::answered) {
         done(std::move(admitted.result));
         return;
     }
     answer_at_deadline(id_of(*key), admitted.ticket, call.deadline - now);
-    if (admitted.what == key_admission::kind::admitted) {
+    if (admitted.status == key_admission::kind::admitted) {
         const auto run = std::make_shared<execution>();
         run->id = id_of(*key);
         run->call = call;
--- a/unittests/keys/key_table_test.cpp
+++ b/unittests/keys/key_table_test.cpp
@@ -42,19 +42,19 @@
 {
     key_table table{{}};
     const key_id later{7, 5};
-    ASSERT_EQ(table.admit(later, request, ignore(), at(0)).what, key_admission::kind::admitted);
+    ASSERT_EQ(table.admit(later, request, ignore(), at(0)).status, key_admission::kind::admitted);
     table.finish(later, completed("x"), at(10));
     table.expire(at(600'011));
     ASSERT_EQ(table.size(), 0U);
     for (const auto& id : {later, first_key}) {
         const auto second = table.admit(id, request, ignore(), at(1));
-        EXPECT_EQ(second.what, key_admission::kind::answered);
+        EXPECT_EQ(second.status, key_admission::kind::answered);
         EXPECT_EQ(second.result.outcome, call_outcome::unknown);
         EXPECT_EQ(second.result.reason, reason_code::key_expired);
     }
-    EXPECT_EQ(table.admit({7, 6}, request, ignore(), at(600'012)).what,
+    EXPECT_EQ(table.admit({7, 6}, request, ignore(), at(600'012)).status,
               key_admission::kind::admitted);
-    EXPECT_EQ(table.admit({8, 1}, request, ignore(), at(600'012)).what,
+    EXPECT_EQ(table.admit({8, 1}, request, ignore(), at(600'012)).status,
               key_admission::kind::admitted);
 }
 
@@ -67,7 +67,7 @@
     key_admission last;
     do {
         last = table.admit({7, ++sequence}, request, ignore(), at(0));
-    } while (last.what == key_admission::kind::admitted);
+    } while (last.status == key_admission::kind::admitted);
     EXPECT_EQ(last.result.outcome, call_outcome::not_run);
     EXPECT_EQ(last.result.reason, reason_code::key_table_full);
     ASSERT_GT(sequence, 2U);
@@ -78,7 +78,7 @@
     // There is space again, but the refused key stays closed.
     EXPECT_EQ(table.admit({7, sequence}, request, ignore(), at(2)).result.outcome,
               call_outcome::not_run);
-    EXPECT_EQ(table.admit({7, sequence + 1}, request, ignore(), at(2)).what,
+    EXPECT_EQ(table.admit({7, sequence + 1}, request, ignore(), at(2)).status,
               key_admission::kind::admitted);
 }
 
@@ -153,7 +153,7 @@
                 const auto admitted = table.admit(
                     id, request, [&answers, caller](const call_result&) { ++answers[caller]; },
                     at(now));
-                answers[caller] += admitted.what == key_admission::kind::answered ? 1 : 0;
+                answers[caller] += admitted.status == key_admission::kind::answered ? 1 : 0;
             }
             else if (operation == 1 && table.start(id)) {
                 RC_ASSERT(started.insert(id.sequence).second);
