--- a/include/chestnutstand/keys/key_candidates.h
+++ b/include/chestnutstand/keys/key_candidates.h
@@ -27,7 +27,7 @@
 struct key_environment {
     std::function<time_point()> now;
     /// Runs a task after a delay, on any thread.
-    std::function<void(milliseconds, std::function<void()>)> after;
+    std::function<void(milliseconds, std::function<void()>)> run_after;
     /// True only when the instance is known to have ended; a silent member may just be paused.
     std::function<bool(const node_reference&)> is_gone;
 };
--- a/lib/keys/key_owner.cpp
+++ b/lib/keys/key_owner.cpp
@@ -155,16 +155,17 @@
 
 void key_owner::answer_at_deadline(const key_id& id, std::uint64_t ticket, milliseconds delay)
 {
-    environment_.after(std::max(delay, milliseconds{0}), [self = shared_from_this(), id, ticket] {
-        std::optional<call_done> done;
-        {
-            const std::lock_guard lock{self->mutex_};
-            done = self->table_.detach(id, ticket);
-        }
-        if (done) {
-            (*done)(unknown_outcome(reason_code::key_running));
-        }
-    });
+    environment_.run_after(std::max(delay, milliseconds{0}),
+                           [self = shared_from_this(), id, ticket] {
+                               std::optional<call_done> done;
+                               {
+                                   const std::lock_guard lock{self->mutex_};
+                                   done = self->table_.detach(id, ticket);
+                               }
+                               if (done) {
+                                   (*done)(unknown_outcome(reason_code::key_running));
+                               }
+                           });
 }
 
 void key_owner::try_next(const execution_ptr& run)
@@ -223,8 +224,8 @@
     }
     const milliseconds delay = run->settle_delay;
     run->settle_delay = options_.timing.next(delay);
-    environment_.after(delay,
-                       [self = shared_from_this(), run, target] { self->settle(run, target); });
+    environment_.run_after(delay,
+                           [self = shared_from_this(), run, target] { self->settle(run, target); });
 }
 
 void key_owner::on_settled(const execution_ptr& run, const node_reference& target,
--- a/lib/keys/key_settlement.cpp
+++ b/lib/keys/key_settlement.cpp
@@ -158,7 +158,7 @@
             return;
         }
         asked->delay = timing_.next(delay);
-        environment_.after(delay, [self = shared_from_this(), asked] { self->ask_all(asked); });
+        environment_.run_after(delay, [self = shared_from_this(), asked] { self->ask_all(asked); });
         return;
     }
     asked->answer(asked->has(finding::gone) ? unknown_outcome(reason_code::executor_gone)
--- a/unittests/keys/key_simulation.cpp
+++ b/unittests/keys/key_simulation.cpp
@@ -149,7 +149,7 @@
 
 key_environment cluster::environment_of(const std::weak_ptr<process>& self)
 {
-    const auto after = [this, self](milliseconds delay, task work) {
+    const auto run_after = [this, self](milliseconds delay, task work) {
         const time_point due = now() + delay;
         auto& queue = delay >= long_delay ? late_ : pending_;
         queue.push_back([this, self, due, work = std::move(work)] {
@@ -160,7 +160,7 @@
             }
         });
     };
-    return {[this] { return now(); }, after,
+    return {[this] { return now(); }, run_after,
             [this](const node_reference& node) { return !is_alive(node); }};
 }
 
