--- a/include/chestnutstand/keys/key_table.h
+++ b/include/chestnutstand/keys/key_table.h
@@ -83,7 +83,7 @@
     std::vector<key_waiter> waiters;
     call_result result;
 
-    void run() const
+    void notify() const
     {
         for (const auto& waiter : waiters) {
             waiter.done(result);
--- a/lib/keys/executor_keys.cpp
+++ b/lib/keys/executor_keys.cpp
@@ -49,7 +49,7 @@
         const std::lock_guard lock{mutex_};
         table_.close(id, key_state::not_run, reason, now, released);
     }
-    released.run();
+    released.notify();
 }
 
 void executor_keys::finish(const key_id& id, call_result result, time_point now)
@@ -59,7 +59,7 @@
         const std::lock_guard lock{mutex_};
         released = table_.finish(id, std::move(result), now);
     }
-    released.run();
+    released.notify();
 }
 
 absl::StatusOr<settle_result> executor_keys::settle(std::string_view key_text, time_point now)
@@ -82,7 +82,7 @@
         known = table_.result(id_of(*key));
         request = table_.request(id_of(*key));
     }
-    released.run();
+    released.notify();
     switch (state) {
     case key_state::completed:
         return settle_result{settle_state::completed, std::move(known.response), reason_code::none,
--- a/lib/keys/key_owner.cpp
+++ b/lib/keys/key_owner.cpp
@@ -266,7 +266,7 @@
         const std::lock_guard lock{mutex_};
         released = table_.finish(run->id, std::move(result), environment_.now());
     }
-    released.run();
+    released.notify();
 }
 
 void key_owner::stop()
--- a/unittests/keys/key_table_test.cpp
+++ b/unittests/keys/key_table_test.cpp
@@ -102,7 +102,7 @@
     table.admit(
         first_key, request, [&](const call_result& r) { received = r.response.body; }, at(0));
     table.start(first_key);
-    table.finish(first_key, completed(std::string(5'000, 'a')), at(1)).run();
+    table.finish(first_key, completed(std::string(5'000, 'a')), at(1)).notify();
     EXPECT_EQ(received.size(), 5'000U);
     EXPECT_EQ(table.result(first_key).outcome, call_outcome::unknown);
     EXPECT_LE(table.bytes_used(), 4'000U);
@@ -167,11 +167,11 @@
             else if (operation == 3) {
                 table.close(id, key_state::fenced, reason_code::key_fenced, at(now), released);
             }
-            released.run();
+            released.notify();
             check();
         }
         for (std::uint64_t sequence = 1; sequence < 8; ++sequence) {
-            table.finish({7, sequence}, completed("x"), at(now)).run();
+            table.finish({7, sequence}, completed("x"), at(now)).notify();
         }
         for (int caller = 0; caller < callers; ++caller) {
             RC_ASSERT(answers[caller] == 1);
