--- a/include/chestnutstand/keys/attempt_ledger.h
+++ b/include/chestnutstand/keys/attempt_ledger.h
@@ -12,37 +12,41 @@
 
 namespace chestnutstand {
 
-/// Calls of an executor that run at most once and are identified by the request id of the caller's
-/// attempt. A node that lost the connection to the executor settles the id: a call that has not
-/// started is fenced and never will, so that it may be placed elsewhere or truthfully refused.
+/// Tracks the calls of an executor that run at most once and are identified by the request id of
+/// the caller's attempt. A node that lost its connection to the executor settles the id: a call
+/// that has not started is fenced and will never start, so the node may send it to another executor
+/// or report that it did not run.
 ///
-/// Has no mutex and does no I/O: the executor calls it in the critical section that decides about a
-/// start.
+/// Not thread-safe and does no I/O: the executor calls it in the critical section in which it
+/// decides whether a call starts.
 class attempt_ledger {
 public:
-    /// Records a call that waits for a slot. False when the id is fenced or in use here; then the
-    /// call must not run.
+    /// Records a call that waits for a slot. Returns false when the id is fenced or already
+    /// recorded; then the call must not run.
     bool admit(const std::string& id, time_point now);
 
-    /// Commits to run a recorded call; false when it was fenced while it waited.
+    /// Marks a waiting call as started. Returns false when it was fenced while it waited; then it
+    /// must not run.
     bool start(const std::string& id);
 
-    /// Forgets a recorded call that was refused before it started; it may be offered again.
+    /// Removes a call that was refused before it started, so that it may be sent here again. No
+    /// effect on a call that has started.
     void refuse(const std::string& id);
 
-    /// Ends a started call. Its response is kept for a while, if there is space.
+    /// Records the result of a started call for the retention time. Drops the response when the
+    /// ledger holds too many response bytes; the call then settles as unknown.
     void finish(const std::string& id, const call_result& result, time_point now);
 
-    /// What is known of an id; fences it unless it has started.
+    /// Returns the state of an id, and fences the id unless its call has started.
     settle_result settle(const std::string& id, time_point now);
 
     std::size_t size() const { return entries_.size(); }
 
 private:
-    enum class state : std::uint8_t { queued, started, ended, fenced };
+    enum class attempt_state : std::uint8_t { queued, started, ended, fenced };
 
     struct entry {
-        state now = state::queued;
+        attempt_state state = attempt_state::queued;
         call_result result;
     };
     struct expiry {
@@ -51,23 +55,23 @@
     };
 
     void expire(time_point now);
-    void keep_until(const std::string& id, time_point due);
+    void schedule_expiry(const std::string& id, time_point due);
 
     std::unordered_map<std::string, entry> entries_;
-    /// Ended and fenced ids in the order in which they are forgotten.
+    /// Ended and fenced ids in the order of their expiry.
     std::deque<expiry> expiries_;
     std::size_t response_bytes_ = 0;
 };
 
 inline constexpr std::string_view attempt_key_prefix = "attempt:";
 
-/// What the settle call between nodes carries for an attempt in place of an issued key.
+/// Key text that a settle request between nodes carries for an attempt, in place of an issued key.
 inline std::string attempt_key(std::string_view request_id)
 {
     return std::string{attempt_key_prefix}.append(request_id);
 }
 
-/// The request id in such a key; empty for an issued key.
+/// Request id in the key text of an attempt; empty when the text is an issued key.
 inline std::string_view request_id_of_attempt_key(std::string_view key)
 {
     return key.rfind(attempt_key_prefix, 0) == 0 ? key.substr(attempt_key_prefix.size())
--- a/include/chestnutstand/keys/executor_keys.h
+++ b/include/chestnutstand/keys/executor_keys.h
@@ -11,26 +11,27 @@
 
 namespace chestnutstand {
 
-/// What an executor does with a keyed call that it has received.
+/// Tells an executor how to handle a keyed call that it has received.
 struct execution_decision {
     enum class kind : std::uint8_t {
-        run,      ///< Offer the call to the admission queue; its callback is kept here.
-        attached, ///< The same call is in progress here; its callback is kept here.
-        answered, ///< Send the result; nothing else is to be done.
+        run,      ///< Add the call to the admission queue; executor_keys keeps its callback.
+        attached, ///< The same call is in progress here; executor_keys keeps the callback.
+        answered, ///< The result is known; the executor sends it.
     };
 
     kind action = kind::answered;
-    /// Names the key in the later calls.
+    /// Passed to start(), refuse() and finish(). Not set when the key text was rejected.
     key_id id;
-    /// Set when the call is answered at once.
+    /// Set when the action is answered.
     call_result result;
 };
 
-/// Keys at the executor. The last check before a start is start(), which the executor calls in the
-/// critical section in which it commits to send the call to the upstream. Every key that is
-/// refused here stays refused, so that a delayed second copy cannot start. Thread-safe by its own
-/// mutex. enqueue() and start() run no callbacks and may be called with the executor's mutex held;
-/// refuse(), finish() and settle() run callbacks and must be called without it.
+/// Idempotency keys of the calls that an executor runs. start() is the last check before a call
+/// runs: the executor calls it in the critical section in which it commits to sending the call to
+/// the upstream. A key that was refused stays refused, so that a delayed duplicate of its call
+/// cannot start. Thread-safe. enqueue() and start() run no callbacks and may be called with the
+/// executor's mutex held; refuse(), finish() and settle() run callbacks and must be called without
+/// it.
 class executor_keys {
 public:
     executor_keys(std::uint64_t instance, std::string secret, const key_table_limits& limits)
@@ -38,23 +39,24 @@
     {
     }
 
-    /// Records a call that waits for a slot, before it enters the admission queue.
+    /// Records a call before it enters the admission queue, where it waits for a slot.
     execution_decision enqueue(std::string_view key_text, const fingerprint& request,
                                call_done done, time_point now);
 
-    /// Commits to run a recorded call. False when it was fenced while it waited; then the caller
-    /// drops it.
+    /// Marks a waiting call as started. Returns false when it was fenced while it waited; then the
+    /// executor must drop it.
     bool start(const key_id& id);
 
-    /// Closes a recorded call that has not started and answers its callbacks with the reason. No
-    /// effect on a call that has started.
+    /// Closes a key whose call has not started, and passes not_run with the reason to the callbacks
+    /// of the call. No effect on a call that has started.
     void refuse(const key_id& id, reason_code reason, time_point now);
 
-    /// Ends a started call and answers its callbacks.
+    /// Records the result of a started call and passes it to the callbacks of the call.
     void finish(const key_id& id, call_result result, time_point now);
 
-    /// State of a key for its owner or a settling node; fences a key that has not started. An error
-    /// means that nothing is known or changed, and the query may be repeated.
+    /// Returns the state of a key to its owner or to a node that settles it, and fences the key if
+    /// its call has not started. An error means that the state is not known and nothing changed;
+    /// the query may be repeated.
     absl::StatusOr<settle_result> settle(std::string_view key_text, time_point now);
 
 private:
--- a/include/chestnutstand/keys/idempotency_key.h
+++ b/include/chestnutstand/keys/idempotency_key.h
@@ -14,29 +14,31 @@
 
 namespace chestnutstand {
 
-/// Upper bound of the executors that a key names; each one may have to be fenced.
+/// Maximum number of candidates in a key. Settling a key may have to fence every one of them.
 inline constexpr std::size_t max_key_candidates = 3;
 
-/// Content of an idempotency key. Only the owner admits it, and only the candidates run it.
+/// Content of an idempotency key. Only the owner admits calls with the key, and only the candidates
+/// run them.
 struct idempotency_key {
     node_reference owner;
     std::vector<node_reference> candidates;
-    /// Counts up from 1 in the order in which the owner instance issues keys.
+    /// Number of the key among those that the owner instance has issued, starting at 1.
     std::uint64_t sequence = 0;
-    /// Time on the owner's clock since its start, in whole milliseconds.
+    /// Time of issue since the start of the owner, by its clock, in whole milliseconds.
     milliseconds issued{0};
     std::string service;
 
     friend bool operator==(const idempotency_key&, const idempotency_key&) = default;
 };
 
-/// Text of a key for callers and peers: web-safe base64 of the content and its MAC.
+/// Returns the text of a key for callers and peers: web-safe base64 of the content and its MAC.
 std::string encode(const idempotency_key& key, std::string_view secret);
 
-/// Key of a text, or an error when the text is not exactly what encode returns for the secret.
+/// Returns the key of a text, or an InvalidArgument error unless the text is exactly what encode()
+/// returns with the same secret.
 absl::StatusOr<idempotency_key> decode(std::string_view text, std::string_view secret);
 
-/// Digest of method, target and body. Headers are excluded, because each hop changes them.
+/// Returns a digest of method, target and body. Headers are left out because each hop changes them.
 fingerprint request_fingerprint(const http_request& request);
 
 } // namespace chestnutstand
--- a/include/chestnutstand/keys/key_candidates.h
+++ b/include/chestnutstand/keys/key_candidates.h
@@ -10,8 +10,8 @@
 
 namespace chestnutstand {
 
-/// The executor of this process, for keys that name it as a candidate. Callbacks run exactly once,
-/// on any thread, possibly before the method returns.
+/// Interface to the executor of this process, for keys that name it as a candidate. Callbacks run
+/// exactly once, on any thread, possibly before the method returns.
 class key_executor {
 public:
     key_executor() = default;
@@ -23,25 +23,26 @@
     virtual void settle(const std::string& key, peer_client::settle_done done) = 0;
 };
 
-/// What the two users of candidates need from the node around them. All callbacks are thread-safe.
+/// Functions that key_owner and key_settlement need from their node. All of them are thread-safe.
 struct key_environment {
     std::function<time_point()> now;
     /// Runs a task after a delay, on any thread.
     std::function<void(milliseconds, std::function<void()>)> run_after;
-    /// True only when the instance is known to have ended; a silent member may just be paused.
+    /// Returns true only when the instance is known to have ended. A member that does not respond
+    /// may be paused and resume later.
     std::function<bool(const node_reference&)> is_gone;
 };
 
-/// Times between queries about a key and the limit of one query.
+/// Timeout of one query about a key, and the exponential delay between repeated queries.
 struct settle_timing {
     milliseconds timeout{1'000};
     milliseconds first_delay{20};
-    milliseconds longest_delay{1'000};
+    milliseconds max_delay{1'000};
 
-    milliseconds next(milliseconds delay) const { return std::min(delay * 2, longest_delay); }
+    milliseconds next_delay(milliseconds delay) const { return std::min(delay * 2, max_delay); }
 };
 
-/// Executors by reference, whether it is this process or a peer.
+/// Sends calls and settle requests to the candidates of keys, which are this process or peers.
 class candidate_client {
 public:
     candidate_client(std::uint64_t self, peer_client& peers, key_executor& local)
--- a/include/chestnutstand/keys/key_owner.h
+++ b/include/chestnutstand/keys/key_owner.h
@@ -23,37 +23,40 @@
     settle_timing timing;
 };
 
-/// How an owner selects executors.
+/// Functions with which an owner selects executors.
 struct candidate_selection {
-    /// Executors for a new key of a service, at most max_key_candidates.
+    /// Returns the executors for a new key of a service, at most max_key_candidates.
     std::function<std::vector<node_reference>(const std::string& service)> choose;
-    /// The given candidates in the order of preference; those that may not be tried are left out.
+    /// Returns the candidates in order of preference, without those that must not be tried.
     std::function<std::vector<node_reference>(const service_call& call,
                                               std::vector<node_reference>)>
         rank;
 };
 
-/// The node that issued a key: admits it once and runs it on its candidates, one at a time. The
-/// next candidate is tried only with proof that the last one has not started the call and never
-/// will: a refusal, a failed connection, or a fence. No step relies on elapsed time, so a paused
-/// owner may resume anywhere. Thread-safe; callbacks run outside its mutex.
+/// The node that issues keys. Admits the call of each key once and sends it to the candidates, one
+/// at a time. Tries the next candidate only after proof that the previous one has not started the
+/// call and never will: a refusal, a failed connection, or a fence. No step relies on elapsed time,
+/// so the process may be paused and resumed at any point. Thread-safe; callbacks run outside its
+/// mutex.
 class key_owner : public std::enable_shared_from_this<key_owner> {
 public:
     key_owner(key_owner_options options, candidate_client candidates, candidate_selection selection,
               key_environment environment);
 
-    /// New keys of a service, or an error when it has no candidates.
+    /// Issues new keys for a service. Returns an Unavailable error when the service has no
+    /// candidates.
     absl::StatusOr<std::vector<std::string>> issue(const std::string& service, std::size_t count);
 
-    /// Runs a keyed call once, attaches to it, or returns its stored result. When the deadline
-    /// passes first, the caller gets unknown with key_running, and the run goes on.
+    /// Runs a keyed call, or attaches to it if it is running, or returns its stored result. When
+    /// the deadline of this caller passes first, the result is unknown with key_running, and the
+    /// call keeps running.
     void run(const service_call& call, const call_done& done);
 
-    /// Result of a key, which is closed as not-run if it has not started. Waits for a running key
-    /// until the deadline. Never starts a call.
+    /// Returns the result of a key, and closes the key as not run if its call has not started.
+    /// Waits for a running call until the deadline. Never starts a call.
     void query(std::string_view key_text, time_point deadline, const call_done& done);
 
-    /// Ends all repeated queries to executors; keys in progress stay without a result.
+    /// Stops repeating queries to executors. Callers of keys in progress get no final result.
     void stop();
 
     std::size_t bytes_used() const;
@@ -66,12 +69,12 @@
     key_admission admit(const idempotency_key& key, const service_call& call, call_done done,
                         time_point now);
     void answer_at_deadline(const key_id& id, std::uint64_t ticket, milliseconds delay);
-    void try_next(const execution_ptr& run);
+    void try_next_candidate(const execution_ptr& run);
     void on_executed(const execution_ptr& run, const node_reference& target, call_result result);
     void settle(const execution_ptr& run, const node_reference& target);
     void settle_later(const execution_ptr& run, const node_reference& target);
     void on_settled(const execution_ptr& run, const node_reference& target,
-                    absl::StatusOr<settle_result> settled);
+                    absl::StatusOr<settle_result> reply);
     void finish(const execution_ptr& run, call_result result);
 
     const key_owner_options options_;
--- a/include/chestnutstand/keys/key_table.h
+++ b/include/chestnutstand/keys/key_table.h
@@ -12,8 +12,9 @@
 
 namespace chestnutstand {
 
-/// Identity of a key: no two authentic keys share both values.
+/// Identity of a key. No two authentic keys have the same owner instance and sequence number.
 struct key_id {
+    /// Instance id of the owner.
     std::uint64_t owner = 0;
     std::uint64_t sequence = 0;
 
@@ -33,16 +34,16 @@
     }
 };
 
-/// What a table knows of a key.
+/// State of a key in a table.
 enum class key_state : std::uint8_t {
     absent,    ///< Not recorded, and it may still be admitted.
-    queued,    ///< Admitted; nothing has been sent to the upstream yet.
-    running,   ///< Started; the end is not known yet.
-    completed, ///< Final, with the response.
-    not_run,   ///< Final: refused or closed before it started.
-    fenced,    ///< Final: closed by a settlement before it started.
-    unknown,   ///< Final: it may have run, and no response is stored.
-    expired,   ///< Not recorded any more or never admitted; it will not be admitted.
+    queued,    ///< Admitted; the call has not started.
+    running,   ///< Started; the result is not known yet.
+    completed, ///< Final: the response is stored.
+    not_run,   ///< Final: refused or closed before the call started.
+    fenced,    ///< Final: closed by a settlement before the call started.
+    unknown,   ///< Final: the call may have run, and no response is stored.
+    expired,   ///< Final: no record, and blocked by the watermark of its owner instance.
 };
 
 constexpr bool is_final(key_state state)
@@ -52,33 +53,36 @@
 
 struct key_table_limits {
     std::size_t bytes = std::size_t{32} << 20U;
-    /// Part of the bytes that only closed keys may use, so that a full table can still close keys.
+    /// Part of the bytes that is reserved for records of closed keys, so that a table with no space
+    /// for new calls can still close keys.
     std::size_t closing_bytes = std::size_t{4} << 20U;
-    /// Bytes set aside for the response of each admitted key.
+    /// Bytes reserved for the response of each admitted key.
     std::size_t response_reserve = std::size_t{64} << 10U;
     std::size_t waiters_per_key = 64;
-    /// Time that a final state is kept.
+    /// How long a final state is kept.
     milliseconds lifetime{600'000};
 };
 
-/// Callback of one caller that waits for the end of a key.
+/// Callback of one caller that waits for the result of a key.
 struct key_waiter {
     std::uint64_t ticket = 0;
     call_done done;
 };
 
-/// Answer of a table to a call: the call is new, waits for another one, or has a result at once.
+/// Result of admitting a call: it is new, waits for the result of a call in progress, or has a
+/// result already.
 struct key_admission {
     enum class kind : std::uint8_t { admitted, attached, answered };
 
     kind status = kind::answered;
     /// Identifies the waiter of an admitted or attached call.
     std::uint64_t ticket = 0;
-    /// Set when the call is answered at once.
+    /// Set when the status is answered.
     call_result result;
 };
 
-/// Waiters that a transition has released; the caller runs them outside its critical section.
+/// Waiters of a key that has become final. The user of the table calls notify() outside its
+/// critical section.
 struct released_waiters {
     std::vector<key_waiter> waiters;
     call_result result;
@@ -92,45 +96,50 @@
 };
 
 /// State machine of the keys that a process has admitted or closed; used by owners and executors.
-/// Has no mutex and does no I/O: its user calls it in the critical section that decides about a
-/// start. Final states are kept for the lifetime. After that, a watermark per owner refuses all
-/// sequence numbers up to the forgotten one, so that a call that was delayed for longer than the
-/// lifetime cannot start a forgotten key again. A table out of space refuses and never evicts.
+/// Not thread-safe and does no I/O: its user calls it in the critical section in which it decides
+/// whether a call starts. Final states are kept for the lifetime. Afterwards, a watermark per owner
+/// instance blocks all sequence numbers up to the highest removed one, so that a call that was
+/// delayed for longer than the lifetime cannot run its key a second time. A full table refuses new
+/// keys and never evicts records.
 class key_table {
 public:
     explicit key_table(const key_table_limits& limits) : limits_{limits} {}
 
-    /// Admits a key as queued, attaches to a key in progress, or answers.
+    /// Records a new key as queued, attaches to a key in progress, or returns the result of a key
+    /// that is final or cannot be admitted. The callback is kept unless the status is answered.
     key_admission admit(const key_id& id, const fingerprint& request, call_done done,
                         time_point now);
 
-    /// Attaches to a key in progress whatever its request; no ticket when it is not in progress or
-    /// has too many waiters.
+    /// Attaches to a key in progress without comparing the request. Returns the ticket of the
+    /// waiter, or nothing when the key is not in progress or has too many waiters.
     std::optional<std::uint64_t> attach(const key_id& id, call_done done);
 
-    /// Starts a queued key. False when it was closed in the meantime; then it must not run.
+    /// Marks a queued key as running. Returns false when the key is not queued; then its call must
+    /// not run.
     bool start(const key_id& id);
 
-    /// Ends a key in progress with a final result.
+    /// Makes a key in progress final with the result of its call.
     released_waiters finish(const key_id& id, call_result result, time_point now);
 
-    /// Closes a key that has not started. Returns its state afterwards, which is a state in
-    /// progress or final, or absent when there was no space to record the closing.
-    key_state close(const key_id& id, key_state as, reason_code reason, time_point now,
+    /// Closes a key that has not started, with the given final state. Returns the state of the key
+    /// after the call: running, a final state, or absent when there was no space for the record.
+    key_state close(const key_id& id, key_state final_state, reason_code reason, time_point now,
                     released_waiters& released);
 
-    /// Removes the callback of a caller that stops waiting.
+    /// Removes and returns the callback of a caller that stops waiting. Returns nothing when the
+    /// callback was already released.
     std::optional<call_done> detach(const key_id& id, std::uint64_t ticket);
 
     key_state state(const key_id& id) const;
 
-    /// Result of a key in its present state; unknown with key_running while it is in progress.
+    /// Returns the result of a key in its present state: unknown with key_running while the key is
+    /// in progress, unknown with key_expired when it has no record.
     call_result result(const key_id& id) const;
 
-    /// Request that a key was admitted with, if any.
+    /// Returns the request that a key was admitted with, if any.
     std::optional<fingerprint> request(const key_id& id) const;
 
-    /// Forgets final states that are older than the lifetime.
+    /// Removes final states that are older than the lifetime.
     void expire(time_point now);
 
     std::size_t bytes_used() const { return bytes_; }
@@ -151,21 +160,23 @@
     };
     using entry_map = std::unordered_map<key_id, entry, key_id_hash>;
 
-    static call_result result_of(const entry& known);
-    static std::size_t closed_bytes();
-    key_admission refuse_full(const key_id& id, time_point now);
-    key_admission answer(entry& known, const fingerprint& request, call_done done);
+    static call_result result_of(const entry& record);
+    /// Size of the record of a key without a response.
+    static std::size_t base_record_bytes();
+    key_admission refuse_when_full(const key_id& id, time_point now);
+    key_admission admit_recorded(entry& record, const fingerprint& request, call_done done);
     bool has_space(std::size_t bytes, std::size_t limit) const;
-    void resize(entry& known, std::size_t bytes);
-    void store_result(entry& known, call_result& result);
-    released_waiters end(const key_id& id, entry& known, call_result result, time_point now);
+    void resize(entry& record, std::size_t bytes);
+    void store_result(entry& record, call_result& result);
+    released_waiters make_final(const key_id& id, entry& record, call_result result,
+                                time_point now);
 
     key_table_limits limits_;
     entry_map entries_;
     /// Final entries in the order in which they became final.
     std::deque<expiry> expiries_;
-    /// Highest forgotten sequence number of each owner instance.
-    std::unordered_map<std::uint64_t, std::uint64_t> forgotten_;
+    /// Highest sequence number of a removed record, by owner instance.
+    std::unordered_map<std::uint64_t, std::uint64_t> watermarks_;
     std::size_t bytes_ = 0;
     std::uint64_t next_ticket_ = 1;
 };
--- a/lib/keys/attempt_ledger.cpp
+++ b/lib/keys/attempt_ledger.cpp
@@ -5,9 +5,10 @@
 namespace chestnutstand {
 namespace {
 
-/// Longer than a caller waits and than a connection delays what was sent on it.
+/// Longer than callers wait and than a connection can delay a message.
 constexpr milliseconds retention{60'000};
-/// Responses that no node has asked for; beyond this, only the fact that a call has run is kept.
+/// Limit for the responses that are kept in case a node settles their calls. Beyond it, only the
+/// fact that a call has run is kept.
 constexpr std::size_t max_response_bytes = std::size_t{4} << 20U;
 
 } // namespace
@@ -21,17 +22,17 @@
 bool attempt_ledger::start(const std::string& id)
 {
     const auto found = entries_.find(id);
-    if (found == entries_.end() || found->second.now != state::queued) {
+    if (found == entries_.end() || found->second.state != attempt_state::queued) {
         return false;
     }
-    found->second.now = state::started;
+    found->second.state = attempt_state::started;
     return true;
 }
 
 void attempt_ledger::refuse(const std::string& id)
 {
     const auto found = entries_.find(id);
-    if (found != entries_.end() && found->second.now == state::queued) {
+    if (found != entries_.end() && found->second.state == attempt_state::queued) {
         entries_.erase(found);
     }
 }
@@ -42,7 +43,7 @@
     if (found == entries_.end()) {
         return;
     }
-    found->second.now = state::ended;
+    found->second.state = attempt_state::ended;
     const std::size_t bytes = result.response.body.size();
     if (result.outcome == call_outcome::completed && response_bytes_ + bytes > max_response_bytes) {
         found->second.result = unknown_outcome(reason_code::key_table_full);
@@ -51,38 +52,38 @@
         found->second.result = result;
         response_bytes_ += bytes;
     }
-    keep_until(id, now + retention);
+    schedule_expiry(id, now + retention);
 }
 
 settle_result attempt_ledger::settle(const std::string& id, time_point now)
 {
     expire(now);
     const auto [found, is_new] = entries_.try_emplace(id);
-    entry& known = found->second;
-    if (known.now == state::queued) {
-        known.now = state::fenced;
-        keep_until(id, now + retention);
+    entry& attempt = found->second;
+    if (attempt.state == attempt_state::queued) {
+        attempt.state = attempt_state::fenced;
+        schedule_expiry(id, now + retention);
     }
-    switch (known.now) {
-    case state::fenced:
+    switch (attempt.state) {
+    case attempt_state::fenced:
         return {settle_state::fenced, {}, reason_code::key_fenced, {}};
-    case state::started:
+    case attempt_state::started:
         return {settle_state::running, {}, reason_code::key_running, {}};
-    case state::queued:
-    case state::ended:
+    case attempt_state::queued:
+    case attempt_state::ended:
         break;
     }
-    if (known.result.outcome == call_outcome::completed) {
-        return {settle_state::completed, known.result.response, reason_code::none, {}};
+    if (attempt.result.outcome == call_outcome::completed) {
+        return {settle_state::completed, attempt.result.response, reason_code::none, {}};
     }
-    // The upstream has said that it did not run the call, and nobody has offered it again.
-    if (known.result.outcome == call_outcome::not_run) {
-        return {settle_state::fenced, {}, known.result.reason, {}};
+    // The upstream reported that it did not run the call, and the id is not admitted a second time.
+    if (attempt.result.outcome == call_outcome::not_run) {
+        return {settle_state::fenced, {}, attempt.result.reason, {}};
     }
-    return {settle_state::unknown, {}, known.result.reason, {}};
+    return {settle_state::unknown, {}, attempt.result.reason, {}};
 }
 
-void attempt_ledger::keep_until(const std::string& id, time_point due)
+void attempt_ledger::schedule_expiry(const std::string& id, time_point due)
 {
     expiries_.push_back({due, id});
 }
--- a/lib/keys/executor_keys.cpp
+++ b/lib/keys/executor_keys.cpp
@@ -24,8 +24,8 @@
     }
     const key_id id = id_of(*key);
     const std::lock_guard lock{mutex_};
-    key_admission admitted = table_.admit(id, request, std::move(done), now);
-    switch (admitted.status) {
+    key_admission admission = table_.admit(id, request, std::move(done), now);
+    switch (admission.status) {
     case key_admission::kind::admitted:
         return {kind::run, id, {}};
     case key_admission::kind::attached:
@@ -33,7 +33,7 @@
     case key_admission::kind::answered:
         break;
     }
-    return {kind::answered, id, std::move(admitted.result)};
+    return {kind::answered, id, std::move(admission.result)};
 }
 
 bool executor_keys::start(const key_id& id)
@@ -73,33 +73,33 @@
     }
     released_waiters released;
     key_state state = key_state::absent;
-    call_result known;
+    call_result result;
     std::optional<fingerprint> request;
     {
         const std::lock_guard lock{mutex_};
         state =
             table_.close(id_of(*key), key_state::fenced, reason_code::key_fenced, now, released);
-        known = table_.result(id_of(*key));
+        result = table_.result(id_of(*key));
         request = table_.request(id_of(*key));
     }
     released.notify();
     switch (state) {
     case key_state::completed:
-        return settle_result{settle_state::completed, std::move(known.response), reason_code::none,
+        return settle_result{settle_state::completed, std::move(result.response), reason_code::none,
                              request};
     case key_state::queued:
     case key_state::running:
         return settle_result{settle_state::running, {}, reason_code::key_running, request};
     case key_state::not_run:
     case key_state::fenced:
-        return settle_result{settle_state::fenced, {}, known.reason, request};
+        return settle_result{settle_state::fenced, {}, result.reason, request};
     case key_state::unknown:
     case key_state::expired:
-        return settle_result{settle_state::unknown, {}, known.reason, request};
+        return settle_result{settle_state::unknown, {}, result.reason, request};
     case key_state::absent:
         break;
     }
-    return absl::ResourceExhaustedError("no space to fence the key");
+    return absl::ResourceExhaustedError("key table is full; the key was not fenced");
 }
 
 } // namespace chestnutstand
--- a/lib/keys/idempotency_key.cpp
+++ b/lib/keys/idempotency_key.cpp
@@ -16,9 +16,9 @@
 namespace {
 
 constexpr std::size_t mac_size = 16;
-/// Three candidates with IPv6 addresses and a long service name take about 400 characters.
-constexpr std::size_t max_key_text = 1024;
-/// Keeps MACs of keys apart from any other use of the cluster secret.
+/// A key of three candidates with IPv6 addresses and a long service name has about 400 characters.
+constexpr std::size_t max_key_text_size = 1024;
+/// Prefix of the authenticated bytes: no other use of the cluster secret yields the same MAC.
 constexpr std::string_view mac_context = "chestnutstand idempotency key 1\n";
 
 using key_mac = std::array<std::uint8_t, mac_size>;
@@ -64,14 +64,14 @@
     return {node.instance(), node.address(), static_cast<std::uint16_t>(node.node_port())};
 }
 
-absl::Status malformed(std::string_view why)
+absl::Status malformed(std::string_view detail)
 {
-    return absl::InvalidArgumentError("malformed idempotency key: " + std::string{why});
+    return absl::InvalidArgumentError("malformed idempotency key: " + std::string{detail});
 }
 
-void append_framed(std::string& out, std::string_view part)
+void append_with_length(std::string& out, std::string_view part)
 {
-    // The length in front keeps different splits of the same bytes apart.
+    // The length prefix makes different splits of the same bytes produce different digests.
     for (unsigned shift = 0; shift < 64; shift += 8) {
         out += static_cast<char>((static_cast<std::uint64_t>(part.size()) >> shift) & 0xffU);
     }
@@ -98,7 +98,7 @@
 
 absl::StatusOr<idempotency_key> decode(std::string_view text, std::string_view secret)
 {
-    if (text.size() > max_key_text) {
+    if (text.size() > max_key_text_size) {
         return malformed("longer than 1024 characters");
     }
     std::string bytes;
@@ -107,7 +107,7 @@
         return malformed("not canonical web-safe base64 without padding");
     }
     if (bytes.size() <= mac_size) {
-        return malformed("too short");
+        return malformed("no content before the authentication code");
     }
     const std::string_view content_bytes{bytes.data(), bytes.size() - mac_size};
     const key_mac mac = compute_mac(content_bytes, secret);
@@ -117,7 +117,7 @@
     wire::KeyContent content;
     if (!content.ParseFromArray(content_bytes.data(), static_cast<int>(content_bytes.size())) ||
         !is_valid(content)) {
-        return malformed("invalid content");
+        return malformed("content does not parse, or a field is missing or out of range");
     }
     idempotency_key key{from_wire(content.owner()),
                         {},
@@ -134,9 +134,9 @@
 {
     std::string framed;
     framed.reserve(request.method.size() + request.target.size() + request.body.size() + 24);
-    append_framed(framed, request.method);
-    append_framed(framed, request.target);
-    append_framed(framed, request.body);
+    append_with_length(framed, request.method);
+    append_with_length(framed, request.target);
+    append_with_length(framed, request.body);
     fingerprint digest{};
     SHA256(reinterpret_cast<const unsigned char*>(framed.data()), framed.size(), digest.data());
     return digest;
--- a/lib/keys/key_owner.cpp
+++ b/lib/keys/key_owner.cpp
@@ -6,7 +6,7 @@
 namespace chestnutstand {
 namespace {
 
-/// True when the executor itself reports that the call started and its result is lost for good.
+/// Returns true when the executor itself reports that the call started and that its result is lost.
 bool is_final_unknown(reason_code reason)
 {
     switch (reason) {
@@ -24,7 +24,7 @@
 
 } // namespace
 
-/// Progress of one admitted key; touched by one step at a time.
+/// Progress of one admitted key. Needs no mutex: only one step of an execution is active at a time.
 struct key_owner::execution {
     key_id id;
     service_call call;
@@ -51,7 +51,7 @@
         idempotency_key key{options_.self, selection_.choose(service), 0,
                             environment_.now() - started_, service};
         if (key.candidates.empty()) {
-            return absl::UnavailableError("no upstream of the service " + service);
+            return absl::UnavailableError("no upstream is available for service " + service);
         }
         key.candidates.resize(std::min(key.candidates.size(), max_key_candidates));
         {
@@ -74,17 +74,17 @@
     const key_id id = id_of(key);
     const std::lock_guard lock{mutex_};
     if (table_.state(id) == key_state::absent && is_too_old(key, now)) {
-        // Closed explicitly: a thread that read the time earlier must not admit it afterwards.
+        // Recorded as closed: a thread that read the clock earlier must not admit it afterwards.
         released_waiters none;
         table_.close(id, key_state::not_run, reason_code::key_expired, now, none);
         return {key_admission::kind::answered, 0, table_.result(id)};
     }
-    key_admission admitted =
+    key_admission admission =
         table_.admit(id, request_fingerprint(call.request), std::move(done), now);
-    if (admitted.status == key_admission::kind::admitted) {
+    if (admission.status == key_admission::kind::admitted) {
         table_.start(id);
     }
-    return admitted;
+    return admission;
 }
 
 void key_owner::run(const service_call& call, const call_done& done)
@@ -103,21 +103,21 @@
         return;
     }
     const time_point now = environment_.now();
-    key_admission admitted = admit(*key, call, done, now);
-    if (admitted.status == key_admission::kind::answered) {
-        done(std::move(admitted.result));
+    key_admission admission = admit(*key, call, done, now);
+    if (admission.status == key_admission::kind::answered) {
+        done(std::move(admission.result));
         return;
     }
-    answer_at_deadline(id_of(*key), admitted.ticket, call.deadline - now);
-    if (admitted.status == key_admission::kind::admitted) {
+    answer_at_deadline(id_of(*key), admission.ticket, call.deadline - now);
+    if (admission.status == key_admission::kind::admitted) {
         const auto run = std::make_shared<execution>();
         run->id = id_of(*key);
         run->call = call;
-        // A call that has started runs to its end, whatever its caller does.
+        // A call that has started runs to its end even if its caller cancels it.
         run->call.cancel = nullptr;
         run->base_request_id = call.request_id;
         run->untried = key->candidates;
-        try_next(run);
+        try_next_candidate(run);
     }
 }
 
@@ -168,7 +168,7 @@
                            });
 }
 
-void key_owner::try_next(const execution_ptr& run)
+void key_owner::try_next_candidate(const execution_ptr& run)
 {
     if (environment_.now() >= run->call.deadline) {
         finish(run, not_run(reason_code::deadline_exceeded));
@@ -194,7 +194,7 @@
 {
     if (result.outcome == call_outcome::not_run) {
         run->last_refusal = result.reason;
-        try_next(run);
+        try_next_candidate(run);
         return;
     }
     if (result.outcome == call_outcome::completed || is_final_unknown(result.reason)) {
@@ -209,8 +209,8 @@
 {
     candidates_.settle(
         target, run->call.idempotency_key, options_.timing.timeout,
-        [self = shared_from_this(), run, target](absl::StatusOr<settle_result> settled) {
-            self->on_settled(run, target, std::move(settled));
+        [self = shared_from_this(), run, target](absl::StatusOr<settle_result> reply) {
+            self->on_settled(run, target, std::move(reply));
         });
 }
 
@@ -223,15 +223,15 @@
         }
     }
     const milliseconds delay = run->settle_delay;
-    run->settle_delay = options_.timing.next(delay);
+    run->settle_delay = options_.timing.next_delay(delay);
     environment_.run_after(delay,
                            [self = shared_from_this(), run, target] { self->settle(run, target); });
 }
 
 void key_owner::on_settled(const execution_ptr& run, const node_reference& target,
-                           absl::StatusOr<settle_result> settled)
+                           absl::StatusOr<settle_result> reply)
 {
-    if (!settled.ok()) {
+    if (!reply.ok()) {
         if (environment_.is_gone(target)) {
             finish(run, unknown_outcome(reason_code::executor_gone));
             return;
@@ -239,19 +239,19 @@
         settle_later(run, target);
         return;
     }
-    switch (settled->state) {
+    switch (reply->state) {
     case settle_state::completed:
-        finish(run, {call_outcome::completed, reason_code::none, std::move(settled->response), {}});
+        finish(run, {call_outcome::completed, reason_code::none, std::move(reply->response), {}});
         return;
     case settle_state::running:
         settle_later(run, target);
         return;
     case settle_state::fenced:
-        run->last_refusal = settled->reason;
-        try_next(run);
+        run->last_refusal = reply->reason;
+        try_next_candidate(run);
         return;
     case settle_state::unknown:
-        finish(run, unknown_outcome(settled->reason));
+        finish(run, unknown_outcome(reply->reason));
         return;
     case settle_state::wrong_instance:
         finish(run, unknown_outcome(reason_code::executor_gone));
--- a/lib/keys/key_settlement.cpp
+++ b/lib/keys/key_settlement.cpp
@@ -7,33 +7,33 @@
 namespace chestnutstand {
 namespace {
 
-/// The shortest limit of a query near the deadline; less than a round trip would only fail.
-constexpr milliseconds shortest_timeout{50};
+/// Minimum timeout of a query close to the deadline; a query shorter than a round trip would fail.
+constexpr milliseconds min_timeout{50};
 
-/// What is known of one candidate.
-enum class finding : std::uint8_t { open, unreachable, running, fenced, gone };
+/// State of the key at one candidate, as far as the replies tell.
+enum class candidate_state : std::uint8_t { pending, unreachable, running, fenced, gone };
 
-bool is_settled(finding found)
+bool is_settled(candidate_state state)
 {
-    return found == finding::fenced || found == finding::gone;
+    return state == candidate_state::fenced || state == candidate_state::gone;
 }
 
 } // namespace
 
-/// State of one settlement.
-struct key_settlement::inquiry {
+/// One settlement in progress.
+struct key_settlement::operation {
     std::mutex mutex;
     std::string key_text;
     std::optional<fingerprint> request;
     std::vector<node_reference> candidates;
-    std::vector<finding> findings;
+    std::vector<candidate_state> candidate_states;
     time_point deadline;
     milliseconds delay{0};
-    std::size_t pending = 0;
-    /// Null once the caller has its answer.
+    std::size_t pending_replies = 0;
+    /// Null once the caller has its result.
     call_done done;
 
-    void answer(call_result result)
+    void complete(call_result result)
     {
         call_done callback;
         {
@@ -45,15 +45,16 @@
         }
     }
 
-    /// True when the key belongs to another request than the one asked for.
-    bool is_other(const std::optional<fingerprint>& admitted) const
+    /// Returns true when the key was admitted with another request than the one to settle.
+    bool is_for_other_request(const std::optional<fingerprint>& admitted) const
     {
         return request && admitted && *request != *admitted;
     }
 
-    bool has(finding found) const
+    bool has_candidate(candidate_state state) const
     {
-        return std::find(findings.begin(), findings.end(), found) != findings.end();
+        return std::find(candidate_states.begin(), candidate_states.end(), state) !=
+               candidate_states.end();
     }
 };
 
@@ -72,97 +73,100 @@
         done(not_run(reason_code::malformed_key));
         return;
     }
-    const auto asked = std::make_shared<inquiry>();
-    asked->key_text = key_text;
-    asked->request = request;
-    asked->candidates = key->candidates;
-    asked->findings.resize(key->candidates.size(), finding::open);
-    asked->deadline = deadline;
-    asked->delay = timing_.first_delay;
-    asked->done = std::move(done);
-    ask_all(asked);
+    const auto op = std::make_shared<operation>();
+    op->key_text = key_text;
+    op->request = request;
+    op->candidates = key->candidates;
+    op->candidate_states.resize(key->candidates.size(), candidate_state::pending);
+    op->deadline = deadline;
+    op->delay = timing_.first_delay;
+    op->done = std::move(done);
+    query_candidates(op);
 }
 
-void key_settlement::ask_all(const inquiry_ptr& asked) const
+void key_settlement::query_candidates(const operation_ptr& op) const
 {
-    const milliseconds left = asked->deadline - environment_.now();
-    const milliseconds timeout = std::clamp(left, shortest_timeout, timing_.timeout);
-    std::vector<std::size_t> open;
+    const milliseconds left = op->deadline - environment_.now();
+    const milliseconds timeout = std::clamp(left, min_timeout, timing_.timeout);
+    std::vector<std::size_t> unsettled;
     {
-        const std::lock_guard lock{asked->mutex};
-        for (std::size_t i = 0; i < asked->candidates.size(); ++i) {
-            if (!is_settled(asked->findings[i])) {
-                open.push_back(i);
+        const std::lock_guard lock{op->mutex};
+        for (std::size_t i = 0; i < op->candidates.size(); ++i) {
+            if (!is_settled(op->candidate_states[i])) {
+                unsettled.push_back(i);
             }
         }
-        asked->pending = open.size();
+        op->pending_replies = unsettled.size();
     }
-    for (const std::size_t index : open) {
+    for (const std::size_t index : unsettled) {
         candidates_.settle(
-            asked->candidates[index], asked->key_text, timeout,
-            [self = shared_from_this(), asked, index](absl::StatusOr<settle_result> settled) {
-                self->on_reply(asked, index, std::move(settled));
+            op->candidates[index], op->key_text, timeout,
+            [self = shared_from_this(), op, index](absl::StatusOr<settle_result> reply) {
+                self->on_reply(op, index, std::move(reply));
             });
     }
 }
 
-void key_settlement::on_reply(const inquiry_ptr& asked, std::size_t index,
-                              absl::StatusOr<settle_result> settled) const
+void key_settlement::on_reply(const operation_ptr& op, std::size_t index,
+                              absl::StatusOr<settle_result> reply) const
 {
-    finding found = finding::unreachable;
-    if (!settled.ok()) {
-        found =
-            environment_.is_gone(asked->candidates[index]) ? finding::gone : finding::unreachable;
+    // A reply that completes the operation ends it, so that the state set with it has no effect.
+    candidate_state state = candidate_state::unreachable;
+    if (!reply.ok()) {
+        state = environment_.is_gone(op->candidates[index]) ? candidate_state::gone
+                                                            : candidate_state::unreachable;
     }
-    else if (asked->is_other(settled->request)) {
-        found = finding::running;
-        asked->answer(not_run(reason_code::key_reused));
+    else if (op->is_for_other_request(reply->request)) {
+        state = candidate_state::running;
+        op->complete(not_run(reason_code::key_reused));
     }
-    else if (settled->state == settle_state::completed) {
-        found = finding::running;
-        asked->answer(
-            {call_outcome::completed, reason_code::none, std::move(settled->response), {}});
+    else if (reply->state == settle_state::completed) {
+        state = candidate_state::running;
+        op->complete({call_outcome::completed, reason_code::none, std::move(reply->response), {}});
     }
-    else if (settled->state == settle_state::unknown) {
-        found = finding::running;
-        asked->answer(unknown_outcome(settled->reason));
+    else if (reply->state == settle_state::unknown) {
+        state = candidate_state::running;
+        op->complete(unknown_outcome(reply->reason));
     }
-    else if (settled->state == settle_state::running) {
-        found = finding::running;
+    else if (reply->state == settle_state::running) {
+        state = candidate_state::running;
     }
     else {
-        found = settled->state == settle_state::fenced ? finding::fenced : finding::gone;
+        state =
+            reply->state == settle_state::fenced ? candidate_state::fenced : candidate_state::gone;
     }
     {
-        const std::lock_guard lock{asked->mutex};
-        asked->findings[index] = found;
-        if (--asked->pending != 0) {
+        const std::lock_guard lock{op->mutex};
+        op->candidate_states[index] = state;
+        if (--op->pending_replies != 0) {
             return;
         }
     }
-    conclude(asked);
+    finish_round(op);
 }
 
-void key_settlement::conclude(const inquiry_ptr& asked) const
+void key_settlement::finish_round(const operation_ptr& op) const
 {
-    // All replies of the round are in, so that no other thread touches the findings.
-    if (!asked->done) {
+    // All replies of the round have arrived, so no other thread accesses the operation.
+    if (!op->done) {
         return;
     }
-    const bool running = asked->has(finding::running);
-    if (running || asked->has(finding::unreachable)) {
-        const milliseconds delay = asked->delay;
-        if (environment_.now() + delay >= asked->deadline) {
-            asked->answer(unknown_outcome(running ? reason_code::key_running
-                                                  : reason_code::owner_unreachable));
+    const bool running = op->has_candidate(candidate_state::running);
+    if (running || op->has_candidate(candidate_state::unreachable)) {
+        const milliseconds delay = op->delay;
+        if (environment_.now() + delay >= op->deadline) {
+            op->complete(unknown_outcome(running ? reason_code::key_running
+                                                 : reason_code::owner_unreachable));
             return;
         }
-        asked->delay = timing_.next(delay);
-        environment_.run_after(delay, [self = shared_from_this(), asked] { self->ask_all(asked); });
+        op->delay = timing_.next_delay(delay);
+        environment_.run_after(delay,
+                               [self = shared_from_this(), op] { self->query_candidates(op); });
         return;
     }
-    asked->answer(asked->has(finding::gone) ? unknown_outcome(reason_code::executor_gone)
-                                            : not_run(reason_code::key_fenced));
+    op->complete(op->has_candidate(candidate_state::gone)
+                     ? unknown_outcome(reason_code::executor_gone)
+                     : not_run(reason_code::key_fenced));
 }
 
 } // namespace chestnutstand
--- a/lib/keys/key_table.cpp
+++ b/lib/keys/key_table.cpp
@@ -6,9 +6,9 @@
 namespace chestnutstand {
 namespace {
 
-/// Pointers and hash of a map node and its share of the bucket array.
+/// Pointers and hash of a map node, and its share of the bucket array.
 constexpr std::size_t map_node_bytes = 48;
-/// A watermark is a map node of two integers.
+/// A map node with two integers.
 constexpr std::size_t watermark_bytes = map_node_bytes + 16;
 
 std::size_t size_of(const http_response& response)
@@ -28,14 +28,14 @@
     expire(now);
     const auto found = entries_.find(id);
     if (found != entries_.end()) {
-        return answer(found->second, request, std::move(done));
+        return admit_recorded(found->second, request, std::move(done));
     }
     if (state(id) == key_state::expired) {
         return {key_admission::kind::answered, 0, unknown_outcome(reason_code::key_expired)};
     }
-    const std::size_t bytes = closed_bytes() + limits_.response_reserve;
+    const std::size_t bytes = base_record_bytes() + limits_.response_reserve;
     if (!has_space(bytes, limits_.bytes - limits_.closing_bytes)) {
-        return refuse_full(id, now);
+        return refuse_when_full(id, now);
     }
     entry& added = entries_[id];
     added.request = request;
@@ -44,9 +44,9 @@
     return {key_admission::kind::admitted, added.waiters.back().ticket, {}};
 }
 
-key_admission key_table::refuse_full(const key_id& id, time_point now)
+key_admission key_table::refuse_when_full(const key_id& id, time_point now)
 {
-    // Without the record, a delayed copy of the call could be admitted later.
+    // Without a record, a delayed copy of the call could be admitted later.
     released_waiters none;
     const bool recorded =
         close(id, key_state::not_run, reason_code::key_table_full, now, none) == key_state::not_run;
@@ -55,19 +55,19 @@
                      : unknown_outcome(reason_code::key_table_full)};
 }
 
-key_admission key_table::answer(entry& known, const fingerprint& request, call_done done)
+key_admission key_table::admit_recorded(entry& record, const fingerprint& request, call_done done)
 {
-    if (known.request && *known.request != request) {
+    if (record.request && *record.request != request) {
         return {key_admission::kind::answered, 0, not_run(reason_code::key_reused)};
     }
-    if (is_final(known.state)) {
-        return {key_admission::kind::answered, 0, result_of(known)};
+    if (is_final(record.state)) {
+        return {key_admission::kind::answered, 0, result_of(record)};
     }
-    if (known.waiters.size() >= limits_.waiters_per_key) {
+    if (record.waiters.size() >= limits_.waiters_per_key) {
         return {key_admission::kind::answered, 0, unknown_outcome(reason_code::key_running)};
     }
-    known.waiters.push_back({next_ticket_++, std::move(done)});
-    return {key_admission::kind::attached, known.waiters.back().ticket, {}};
+    record.waiters.push_back({next_ticket_++, std::move(done)});
+    return {key_admission::kind::attached, record.waiters.back().ticket, {}};
 }
 
 std::optional<std::uint64_t> key_table::attach(const key_id& id, call_done done)
@@ -97,66 +97,67 @@
     if (found == entries_.end() || is_final(found->second.state)) {
         return {};
     }
-    return end(id, found->second, std::move(result), now);
+    return make_final(id, found->second, std::move(result), now);
 }
 
-released_waiters key_table::end(const key_id& id, entry& known, call_result result, time_point now)
+released_waiters key_table::make_final(const key_id& id, entry& record, call_result result,
+                                       time_point now)
 {
-    store_result(known, result);
+    store_result(record, result);
     expiries_.push_back({now + limits_.lifetime, id});
-    return {std::exchange(known.waiters, {}), std::move(result)};
+    return {std::exchange(record.waiters, {}), std::move(result)};
 }
 
-void key_table::store_result(entry& known, call_result& result)
+void key_table::store_result(entry& record, call_result& result)
 {
-    const std::size_t fixed = known.bytes - limits_.response_reserve;
-    known.reason = result.reason;
-    resize(known, fixed);
+    const std::size_t fixed = record.bytes - limits_.response_reserve;
+    record.reason = result.reason;
+    resize(record, fixed);
     if (result.outcome == call_outcome::not_run) {
-        known.state = key_state::not_run;
+        record.state = key_state::not_run;
         return;
     }
-    known.state = key_state::unknown;
+    record.state = key_state::unknown;
     if (result.outcome != call_outcome::completed) {
         return;
     }
     const std::size_t needed = size_of(result.response);
     if (needed > limits_.response_reserve &&
         !has_space(needed, limits_.bytes - limits_.closing_bytes)) {
-        // The callers that wait now get the response; later ones learn that it was not kept.
-        known.reason = reason_code::key_table_full;
+        // Callers that wait now get the response; later ones get unknown with key_table_full.
+        record.reason = reason_code::key_table_full;
         return;
     }
-    known.state = key_state::completed;
-    // A copy is compact; the original grew while it was received.
-    known.response = result.response;
-    resize(known, fixed + needed);
+    record.state = key_state::completed;
+    // A copy has no spare capacity; the original grew while it was received.
+    record.response = result.response;
+    resize(record, fixed + needed);
 }
 
-key_state key_table::close(const key_id& id, key_state as, reason_code reason, time_point now,
-                           released_waiters& released)
+key_state key_table::close(const key_id& id, key_state final_state, reason_code reason,
+                           time_point now, released_waiters& released)
 {
     expire(now);
     const auto found = entries_.find(id);
     if (found != entries_.end()) {
         if (found->second.state == key_state::queued) {
-            released = end(id, found->second, not_run(reason), now);
-            found->second.state = as;
+            released = make_final(id, found->second, not_run(reason), now);
+            found->second.state = final_state;
         }
         return found->second.state;
     }
     if (state(id) == key_state::expired) {
         return key_state::expired;
     }
-    if (!has_space(closed_bytes(), limits_.bytes)) {
+    if (!has_space(base_record_bytes(), limits_.bytes)) {
         return key_state::absent;
     }
     entry& closed = entries_[id];
-    closed.state = as;
+    closed.state = final_state;
     closed.reason = reason;
-    resize(closed, closed_bytes());
+    resize(closed, base_record_bytes());
     expiries_.push_back({now + limits_.lifetime, id});
-    return as;
+    return final_state;
 }
 
 std::optional<call_done> key_table::detach(const key_id& id, std::uint64_t ticket)
@@ -166,13 +167,13 @@
         return std::nullopt;
     }
     auto& waiters = found->second.waiters;
-    const auto waiter = std::find_if(waiters.begin(), waiters.end(),
-                                     [&](const auto& each) { return each.ticket == ticket; });
-    if (waiter == waiters.end()) {
+    const auto position = std::find_if(waiters.begin(), waiters.end(),
+                                       [&](const auto& waiter) { return waiter.ticket == ticket; });
+    if (position == waiters.end()) {
         return std::nullopt;
     }
-    call_done done = std::move(waiter->done);
-    waiters.erase(waiter);
+    call_done done = std::move(position->done);
+    waiters.erase(position);
     return done;
 }
 
@@ -182,9 +183,9 @@
     if (found != entries_.end()) {
         return found->second.state;
     }
-    const auto forgotten = forgotten_.find(id.owner);
-    return forgotten != forgotten_.end() && id.sequence <= forgotten->second ? key_state::expired
-                                                                             : key_state::absent;
+    const auto watermark = watermarks_.find(id.owner);
+    return watermark != watermarks_.end() && id.sequence <= watermark->second ? key_state::expired
+                                                                              : key_state::absent;
 }
 
 call_result key_table::result(const key_id& id) const
@@ -200,16 +201,16 @@
     return found == entries_.end() ? std::nullopt : found->second.request;
 }
 
-call_result key_table::result_of(const entry& known)
+call_result key_table::result_of(const entry& record)
 {
-    switch (known.state) {
+    switch (record.state) {
     case key_state::completed:
-        return {call_outcome::completed, reason_code::none, known.response, {}};
+        return {call_outcome::completed, reason_code::none, record.response, {}};
     case key_state::not_run:
     case key_state::fenced:
-        return not_run(known.reason);
+        return not_run(record.reason);
     case key_state::unknown:
-        return unknown_outcome(known.reason);
+        return unknown_outcome(record.reason);
     default:
         return unknown_outcome(reason_code::key_running);
     }
@@ -223,13 +224,13 @@
         const auto found = entries_.find(id);
         bytes_ -= found->second.bytes;
         entries_.erase(found);
-        const auto [watermark, added] = forgotten_.try_emplace(id.owner, 0);
+        const auto [watermark, added] = watermarks_.try_emplace(id.owner, 0);
         bytes_ += added ? watermark_bytes : 0;
         watermark->second = std::max(watermark->second, id.sequence);
     }
 }
 
-std::size_t key_table::closed_bytes()
+std::size_t key_table::base_record_bytes()
 {
     return sizeof(entry_map::value_type) + map_node_bytes + sizeof(expiry);
 }
@@ -239,10 +240,10 @@
     return bytes_ + bytes <= limit;
 }
 
-void key_table::resize(entry& known, std::size_t bytes)
+void key_table::resize(entry& record, std::size_t bytes)
 {
-    bytes_ = bytes_ - known.bytes + bytes;
-    known.bytes = bytes;
+    bytes_ = bytes_ - record.bytes + bytes;
+    record.bytes = bytes;
 }
 
 } // namespace chestnutstand
