--- a/unittests/keys/attempt_ledger_test.cpp
+++ b/unittests/keys/attempt_ledger_test.cpp
@@ -9,7 +9,7 @@
 
 class attempt_ledger_test : public testing::Test {
 protected:
-    settle_state settled() { return ledger_.settle(id, now_).state; }
+    settle_state settle() { return ledger_.settle(id, now_).state; }
 
     static call_result completed()
     {
@@ -20,10 +20,11 @@
     attempt_ledger ledger_;
 };
 
-// Guards against a call that runs after it was reported as not run: the settlement overtakes it.
+// Guards against a call that runs after it was reported as not run, because the settlement arrived
+// before it.
 TEST_F(attempt_ledger_test, fences_a_call_that_has_not_arrived)
 {
-    EXPECT_EQ(settled(), settle_state::fenced);
+    EXPECT_EQ(settle(), settle_state::fenced);
     EXPECT_FALSE(ledger_.admit(id, now_));
 }
 
@@ -31,46 +32,46 @@
 TEST_F(attempt_ledger_test, fences_a_queued_call)
 {
     EXPECT_TRUE(ledger_.admit(id, now_));
-    EXPECT_EQ(settled(), settle_state::fenced);
+    EXPECT_EQ(settle(), settle_state::fenced);
     EXPECT_FALSE(ledger_.start(id));
 }
 
-// Guards against a refusal that is sent for a running call, and against a lost answer.
-TEST_F(attempt_ledger_test, tells_a_running_call_from_an_ended_one)
+// Guards against a running call that is settled as fenced, and against a lost response.
+TEST_F(attempt_ledger_test, reports_a_running_call_and_then_its_response)
 {
     ledger_.admit(id, now_);
     EXPECT_TRUE(ledger_.start(id));
-    EXPECT_EQ(settled(), settle_state::running);
+    EXPECT_EQ(settle(), settle_state::running);
     ledger_.finish(id, completed(), now_);
-    const settle_result known = ledger_.settle(id, now_);
-    EXPECT_EQ(known.state, settle_state::completed);
-    EXPECT_EQ(known.response.body, "answer");
+    const settle_result ended = ledger_.settle(id, now_);
+    EXPECT_EQ(ended.state, settle_state::completed);
+    EXPECT_EQ(ended.response.body, "answer");
     EXPECT_FALSE(ledger_.admit(id, now_));
 }
 
-// Guards against a second copy that runs beside the first.
+// Guards against a duplicate that runs concurrently with the first copy of a call.
 TEST_F(attempt_ledger_test, admits_an_id_once)
 {
     EXPECT_TRUE(ledger_.admit(id, now_));
     EXPECT_FALSE(ledger_.admit(id, now_));
 }
 
-// Guards against a call that cannot be offered again to the node that refused it while it was busy.
-TEST_F(attempt_ledger_test, refused_call_may_be_offered_again)
+// Guards against a call that cannot be sent again to the node that refused it while it was busy.
+TEST_F(attempt_ledger_test, admits_a_refused_call_again)
 {
     ledger_.admit(id, now_);
     ledger_.refuse(id);
     EXPECT_TRUE(ledger_.admit(id, now_));
     EXPECT_TRUE(ledger_.start(id));
     ledger_.refuse(id);
-    EXPECT_EQ(settled(), settle_state::running);
+    EXPECT_EQ(settle(), settle_state::running);
 }
 
-// Guards against a ledger that grows without bound, and against a fence that is forgotten while a
-// delayed copy may still arrive.
-TEST_F(attempt_ledger_test, forgets_after_the_retention)
+// Guards against a ledger that grows without bound, and against a fence that is removed while a
+// delayed copy of its call may still arrive.
+TEST_F(attempt_ledger_test, removes_a_fence_after_the_retention)
 {
-    settled();
+    settle();
     now_ += milliseconds{30'000};
     EXPECT_FALSE(ledger_.admit(id, now_));
     now_ += milliseconds{40'000};
@@ -78,23 +79,23 @@
     EXPECT_EQ(ledger_.size(), 1U);
 }
 
-// Guards against responses that fill the memory of a node.
+// Guards against stored responses that exhaust the memory of a node.
 TEST_F(attempt_ledger_test, keeps_a_bounded_number_of_response_bytes)
 {
     call_result large = completed();
     large.response.body.assign(std::size_t{1} << 20U, 'x');
     for (int i = 0; i < 10; ++i) {
-        const std::string each = std::to_string(i);
-        ledger_.admit(each, now_);
-        ledger_.start(each);
-        ledger_.finish(each, large, now_);
+        const std::string attempt_id = std::to_string(i);
+        ledger_.admit(attempt_id, now_);
+        ledger_.start(attempt_id);
+        ledger_.finish(attempt_id, large, now_);
     }
     EXPECT_EQ(ledger_.settle("0", now_).state, settle_state::completed);
     EXPECT_EQ(ledger_.settle("9", now_).state, settle_state::unknown);
 }
 
-// Guards against an issued key that is taken for a request id.
-TEST_F(attempt_ledger_test, tells_attempts_from_issued_keys)
+// Guards against an issued key that is mistaken for the key text of an attempt.
+TEST_F(attempt_ledger_test, distinguishes_attempt_keys_from_issued_keys)
 {
     EXPECT_EQ(request_id_of_attempt_key(attempt_key("r1")), "r1");
     EXPECT_EQ(request_id_of_attempt_key("issued"), "");
--- a/unittests/keys/executor_keys_test.cpp
+++ b/unittests/keys/executor_keys_test.cpp
@@ -17,38 +17,39 @@
 struct executor_keys_test : testing::Test {
     executor_keys keys{own_instance, std::string{secret}, {}};
     std::string key = key_for(own_instance);
-    std::vector<call_result> answers;
+    std::vector<call_result> results;
 
     execution_decision enqueue()
     {
-        return keys.enqueue(key, request, [&](const call_result& r) { answers.push_back(r); }, {});
+        return keys.enqueue(key, request,
+                            [&](const call_result& result) { results.push_back(result); }, {});
     }
     settle_state settle() { return keys.settle(key, {})->state; }
 };
 
-// Guards against a queued call that starts after its owner was told that it had not run.
-TEST_F(executor_keys_test, fence_wins_against_a_queued_call)
+// Guards against a queued call that starts after its owner was told that it did not run.
+TEST_F(executor_keys_test, fences_a_queued_call)
 {
     const auto queued = enqueue();
     ASSERT_EQ(queued.action, execution_decision::kind::run);
     EXPECT_EQ(settle(), settle_state::fenced);
     EXPECT_FALSE(keys.start(queued.id));
-    ASSERT_EQ(answers.size(), 1U);
-    EXPECT_EQ(answers[0].outcome, call_outcome::not_run);
-    EXPECT_EQ(answers[0].reason, reason_code::key_fenced);
+    ASSERT_EQ(results.size(), 1U);
+    EXPECT_EQ(results[0].outcome, call_outcome::not_run);
+    EXPECT_EQ(results[0].reason, reason_code::key_fenced);
 }
 
-// Guards against a call that runs when it arrives after its fence.
-TEST_F(executor_keys_test, fence_stays_for_a_delayed_call)
+// Guards against a call that runs although it arrives after its key was fenced.
+TEST_F(executor_keys_test, fences_a_call_that_has_not_arrived)
 {
     EXPECT_EQ(settle(), settle_state::fenced);
-    const auto late = enqueue();
-    EXPECT_EQ(late.action, execution_decision::kind::answered);
-    EXPECT_EQ(late.result.outcome, call_outcome::not_run);
+    const auto delayed = enqueue();
+    EXPECT_EQ(delayed.action, execution_decision::kind::answered);
+    EXPECT_EQ(delayed.result.outcome, call_outcome::not_run);
 }
 
-// Guards against a fence on a running call, which would prove what is not so.
-TEST_F(executor_keys_test, running_call_is_not_fenced)
+// Guards against a fence on a running call, which would be a false proof that it did not run.
+TEST_F(executor_keys_test, does_not_fence_a_running_call)
 {
     const auto queued = enqueue();
     ASSERT_TRUE(keys.start(queued.id));
@@ -56,25 +57,25 @@
     keys.refuse(queued.id, reason_code::queue_timeout, {});
     EXPECT_EQ(enqueue().action, execution_decision::kind::attached);
     keys.finish(queued.id, {call_outcome::completed, reason_code::none, {200, {}, "x"}, {}}, {});
-    EXPECT_EQ(answers.size(), 2U);
+    EXPECT_EQ(results.size(), 2U);
     EXPECT_EQ(keys.settle(key, {})->response.body, "x");
     EXPECT_EQ(enqueue().result.response.body, "x");
 }
 
-// Guards against a refusal from the queue that a second copy of the call undoes.
-TEST_F(executor_keys_test, refusal_from_the_queue_is_final)
+// Guards against a duplicate that runs after the queue refused the first copy of the call.
+TEST_F(executor_keys_test, refusal_by_the_queue_is_final)
 {
     const auto queued = enqueue();
     keys.refuse(queued.id, reason_code::queue_timeout, {});
-    ASSERT_EQ(answers.size(), 1U);
-    EXPECT_EQ(answers[0].reason, reason_code::queue_timeout);
+    ASSERT_EQ(results.size(), 1U);
+    EXPECT_EQ(results[0].reason, reason_code::queue_timeout);
     EXPECT_FALSE(keys.start(queued.id));
     EXPECT_EQ(enqueue().result.outcome, call_outcome::not_run);
     EXPECT_EQ(settle(), settle_state::fenced);
 }
 
-// Guards against an executor that runs a key that names another process, which no settlement would
-// ask.
+// Guards against an executor that runs a key without being one of its candidates: a settlement
+// queries only the candidates.
 TEST_F(executor_keys_test, refuses_keys_of_other_executors)
 {
     key = key_for(own_instance + 1);
--- a/unittests/keys/idempotency_key_test.cpp
+++ b/unittests/keys/idempotency_key_test.cpp
@@ -18,14 +18,14 @@
 }
 
 // Guards against a field that is lost between the owner and the executors.
-TEST(idempotency_key, survives_encoding)
+TEST(idempotency_key, decodes_to_what_was_encoded)
 {
     const auto decoded = decode(encode(sample_key(), secret), secret);
     ASSERT_TRUE(decoded.ok()) << decoded.status();
     EXPECT_EQ(*decoded, sample_key());
 }
 
-// Guards against keys that a caller without the secret made or altered.
+// Guards against keys that were forged or altered without the secret.
 TEST(idempotency_key, refuses_every_changed_character)
 {
     const std::string text = encode(sample_key(), secret);
@@ -38,8 +38,8 @@
     EXPECT_FALSE(decode(text, "other secret").ok());
 }
 
-// Guards against two texts of one key, which a table of texts would run twice.
-TEST(idempotency_key, has_one_text_only)
+// Guards against two texts of the same key: a table indexed by text would run the key twice.
+TEST(idempotency_key, accepts_only_the_canonical_text)
 {
     const std::string text = encode(sample_key(), secret);
     for (const char* suffix : {"=", "==", " ", "\n", ".", "A"}) {
@@ -48,7 +48,7 @@
     EXPECT_FALSE(decode(" " + text, secret).ok());
 }
 
-// Guards against authentic keys whose content no executor could use.
+// Guards against keys with a valid MAC whose content no executor can use.
 TEST(idempotency_key, refuses_invalid_content)
 {
     auto no_candidates = sample_key();
@@ -64,15 +64,16 @@
     }
 }
 
-// Guards against a crash or an acceptance on arbitrary input.
+// Guards against arbitrary input that crashes decode() or is accepted.
 TEST(idempotency_key, refuses_arbitrary_text)
 {
     EXPECT_TRUE(
         rc::check([] { RC_ASSERT(!decode(*rc::gen::arbitrary<std::string>(), secret).ok()); }));
 }
 
-// Guards against requests that differ only in where one part ends and the next begins.
-TEST(request_fingerprint, frames_its_parts)
+// Guards against the same fingerprint for requests whose parts concatenate to the same bytes, and
+// against a fingerprint that depends on headers.
+TEST(request_fingerprint, depends_on_the_boundaries_of_parts_but_not_on_headers)
 {
     EXPECT_NE(request_fingerprint({"POST", "/a", {}, "bc"}),
               request_fingerprint({"POST", "/ab", {}, "c"}));
--- a/unittests/keys/key_properties_test.cpp
+++ b/unittests/keys/key_properties_test.cpp
@@ -13,26 +13,26 @@
 using simulation::cluster;
 using simulation::injected_defect;
 
-constexpr int longest_script = 600;
-constexpr int scripts_per_rule = 2'000;
+constexpr int max_script_size = 600;
+constexpr int scripts_per_test = 2'000;
 
 std::vector<std::uint8_t> random_script(std::mt19937& random)
 {
-    std::vector<std::uint8_t> script(longest_script);
+    std::vector<std::uint8_t> script(max_script_size);
     for (auto& choice : script) {
         choice = static_cast<std::uint8_t>(random());
     }
     return script;
 }
 
-/// True when one of the scripts breaks the expected rule.
-bool is_noticed(injected_defect broken, history::rule expected)
+/// Returns true when the checker reports a violation of the rule for one of the scripts.
+bool is_detected(injected_defect defect, history::rule rule)
 {
     std::mt19937 random{20261204};
-    for (int i = 0; i < scripts_per_rule; ++i) {
-        const auto result = cluster{random_script(random), broken}.run();
-        for (const auto& each : result.checked.violations) {
-            if (each.broken == expected) {
+    for (int i = 0; i < scripts_per_test; ++i) {
+        const auto result = cluster{random_script(random), defect}.run();
+        for (const auto& violation : result.report.violations) {
+            if (violation.broken == rule) {
                 return true;
             }
         }
@@ -41,41 +41,42 @@
 }
 
 // Guards against an interleaving of owners, executors, duplicates, lost and delayed messages,
-// fences and crashes in which a key runs twice, not-run is wrong, a response is another one's, a
-// call is lost without a death, or a caller is never answered.
+// fences and crashes in which a key runs twice, a call that ran is reported as not run, a call gets
+// the response of another one, a result is lost although no process died, or a caller gets no
+// result.
 TEST(key_properties, hold_in_every_interleaving)
 {
     EXPECT_TRUE(rc::check([] {
         const auto script = *rc::gen::resize(
-            longest_script,
+            max_script_size,
             rc::gen::container<std::vector<std::uint8_t>>(rc::gen::arbitrary<std::uint8_t>()));
         const auto result = cluster{script, injected_defect::none}.run();
-        for (const auto& each : result.checked.violations) {
-            RC_LOG() << history::to_string(each.broken) << ": " << each.detail << "\n";
+        for (const auto& violation : result.report.violations) {
+            RC_LOG() << history::to_string(violation.broken) << ": " << violation.detail << "\n";
         }
-        RC_ASSERT(result.checked.holds());
+        RC_ASSERT(result.report.holds());
         RC_ASSERT(result.drained);
         RC_ASSERT(result.unsettled == 0U);
     }));
 }
 
-// Guards against the same over many more interleavings than the generator makes, and against a
-// simulation in which hardly anything runs.
+// Guards against the same failures in many more interleavings than the generator produces, and
+// against a simulation in which hardly any call runs.
 TEST(key_properties, hold_in_many_random_interleavings)
 {
     std::mt19937 random{20261204};
     std::map<std::string, std::size_t> totals;
-    for (int i = 0; i < scripts_per_rule; ++i) {
+    for (int i = 0; i < scripts_per_test; ++i) {
         const auto result = cluster{random_script(random), injected_defect::none}.run();
-        ASSERT_TRUE(result.checked.holds())
-            << "script " << i << ": " << history::to_string(result.checked.violations[0].broken)
-            << " " << result.checked.violations[0].detail;
+        ASSERT_TRUE(result.report.holds())
+            << "script " << i << ": " << history::to_string(result.report.violations[0].broken)
+            << " " << result.report.violations[0].detail;
         ASSERT_TRUE(result.drained) << "script " << i;
         ASSERT_EQ(result.unsettled, 0U) << "script " << i;
         totals["executions"] += result.executions;
-        totals["completed"] += result.checked.completed;
-        totals["not-run"] += result.checked.not_run;
-        for (const auto& [reason, count] : result.checked.unknown_by_reason) {
+        totals["completed"] += result.report.completed;
+        totals["not-run"] += result.report.not_run;
+        for (const auto& [reason, count] : result.report.unknown_by_reason) {
             totals["unknown " + std::string{to_string(reason)}] += count;
         }
     }
@@ -87,29 +88,29 @@
     }
 }
 
-// Guards against checks that would not notice an owner that moves on after a lost reply.
-TEST(key_properties, notice_a_missing_settlement)
+// Guards against checks that miss an owner that tries the next candidate after a lost reply.
+TEST(key_properties, checks_detect_a_missing_settlement)
 {
-    EXPECT_TRUE(is_noticed(injected_defect::lost_reply_is_refusal, history::rule::at_most_once));
+    EXPECT_TRUE(is_detected(injected_defect::lost_reply_is_refusal, history::rule::at_most_once));
 }
 
-// Guards against checks that would not notice an executor that forgets its fences.
-TEST(key_properties, notice_a_missing_fence)
+// Guards against checks that miss an executor that does not keep its fences.
+TEST(key_properties, checks_detect_a_fence_that_is_not_kept)
 {
-    EXPECT_TRUE(is_noticed(injected_defect::fence_is_not_kept, history::rule::not_run));
-    EXPECT_TRUE(is_noticed(injected_defect::fence_is_not_kept, history::rule::at_most_once));
+    EXPECT_TRUE(is_detected(injected_defect::fence_is_not_kept, history::rule::not_run));
+    EXPECT_TRUE(is_detected(injected_defect::fence_is_not_kept, history::rule::at_most_once));
 }
 
-// Guards against checks that would not notice silence taken for a fence.
-TEST(key_properties, notice_silence_taken_for_a_fence)
+// Guards against checks that miss a candidate that counts as fenced because it does not reply.
+TEST(key_properties, checks_detect_a_missing_reply_taken_for_a_fence)
 {
-    EXPECT_TRUE(is_noticed(injected_defect::silence_is_fence, history::rule::not_run));
+    EXPECT_TRUE(is_detected(injected_defect::missing_reply_is_fence, history::rule::not_run));
 }
 
-// Guards against checks that would not notice a failed forward reported as not-run.
-TEST(key_properties, notice_a_failed_forward_taken_for_proof)
+// Guards against checks that miss a call that is reported as not run after a failed forward.
+TEST(key_properties, checks_detect_a_failed_forward_taken_for_proof)
 {
-    EXPECT_TRUE(is_noticed(injected_defect::failed_forward_is_proof, history::rule::not_run));
+    EXPECT_TRUE(is_detected(injected_defect::failed_forward_is_proof, history::rule::not_run));
 }
 
 } // namespace
--- a/unittests/keys/key_simulation.cpp
+++ b/unittests/keys/key_simulation.cpp
@@ -14,13 +14,13 @@
 /// Timers at least this long are chosen rarely, so that most calls finish before their deadline.
 constexpr milliseconds long_delay{500};
 
-/// Forwards the first result only, and only while the receiving process lives.
+/// Returns a callback that passes on only the first result, and only if the receiver is alive.
 template <typename Result, typename Alive>
-std::function<void(Result)> once(std::function<void(Result)> done, Alive alive)
+std::function<void(Result)> first_result(std::function<void(Result)> done, Alive is_alive)
 {
-    auto answered = std::make_shared<bool>(false);
-    return [done = std::move(done), alive, answered](Result result) {
-        if (!std::exchange(*answered, true) && alive()) {
+    auto delivered = std::make_shared<bool>(false);
+    return [done = std::move(done), is_alive, delivered](Result result) {
+        if (!std::exchange(*delivered, true) && is_alive()) {
             done(std::move(result));
         }
     };
@@ -28,7 +28,7 @@
 
 } // namespace
 
-std::function<bool()> cluster::peers::alive()
+std::function<bool()> cluster::peers::liveness_check() const
 {
     return [self = self_] {
         const auto process = self.lock();
@@ -38,19 +38,19 @@
 
 void cluster::peers::execute(const node_reference& target, const service_call& call, call_done done)
 {
-    const auto reply = once(std::move(done), alive());
-    all_.transmit(
+    const auto reply = first_result(std::move(done), liveness_check());
+    parent_.transmit(
         target,
-        [&all = all_, call, target, reply](const process_ptr& at) {
-            if (at->node != target) {
-                later(all, reply)(not_run(reason_code::wrong_instance));
+        [&parent = parent_, call, target, reply](const process_ptr& receiver) {
+            if (receiver->node != target) {
+                as_message(parent, reply)(not_run(reason_code::wrong_instance));
                 return;
             }
-            all.receive_call(at, call, later(all, reply));
+            parent.receive_call(receiver, call, as_message(parent, reply));
         },
         [reply] { reply(not_run(reason_code::peer_unreachable)); },
-        [reply, broken = all_.broken_] {
-            reply(broken == injected_defect::lost_reply_is_refusal
+        [reply, defect = parent_.defect_] {
+            reply(defect == injected_defect::lost_reply_is_refusal
                       ? not_run(reason_code::peer_unreachable)
                       : unknown_outcome(reason_code::peer_connection_lost));
         });
@@ -59,15 +59,16 @@
 void cluster::peers::forward(const node_reference& owner, const service_call& call, bool query_only,
                              call_done done)
 {
-    const auto reply = once(std::move(done), alive());
-    all_.transmit(
+    const auto reply = first_result(std::move(done), liveness_check());
+    parent_.transmit(
         owner,
-        [&all = all_, call, query_only, reply](const process_ptr& at) {
+        [&parent = parent_, call, query_only, reply](const process_ptr& receiver) {
             if (query_only) {
-                at->owner->query(call.idempotency_key, call.deadline, later(all, reply));
+                receiver->owner->query(call.idempotency_key, call.deadline,
+                                       as_message(parent, reply));
                 return;
             }
-            at->owner->run(call, later(all, reply));
+            receiver->owner->run(call, as_message(parent, reply));
         },
         [reply] { reply(unknown_outcome(reason_code::owner_unreachable)); },
         [reply] { reply(unknown_outcome(reason_code::owner_unreachable)); });
@@ -77,26 +78,26 @@
                             settle_done done)
 {
     using result = absl::StatusOr<settle_result>;
-    const auto reply = once<result>(std::move(done), alive());
-    const bool broken = all_.broken_ == injected_defect::silence_is_fence;
-    all_.transmit(
+    const auto reply = first_result<result>(std::move(done), liveness_check());
+    const bool counts_as_fenced = parent_.defect_ == injected_defect::missing_reply_is_fence;
+    parent_.transmit(
         executor,
-        [&all = all_, key, executor, reply](const process_ptr& at) {
-            later(all, reply)(
-                at->node == executor
-                    ? all.receive_settle(*at, key)
+        [&parent = parent_, key, executor, reply](const process_ptr& receiver) {
+            as_message(parent, reply)(
+                receiver->node == executor
+                    ? parent.receive_settle(*receiver, key)
                     : settle_result{settle_state::wrong_instance, {}, reason_code::none, {}});
         },
-        [reply] { reply(absl::UnavailableError("refused")); },
-        [reply, broken] {
-            reply(broken
+        [reply] { reply(absl::UnavailableError("connection refused")); },
+        [reply, counts_as_fenced] {
+            reply(counts_as_fenced
                       ? result{settle_result{settle_state::fenced, {}, reason_code::key_fenced, {}}}
-                      : result{absl::UnavailableError("lost")});
+                      : result{absl::UnavailableError("reply lost")});
         });
 }
 
-cluster::cluster(std::vector<std::uint8_t> script, injected_defect broken)
-    : script_{std::move(script)}, broken_{broken}
+cluster::cluster(std::vector<std::uint8_t> script, injected_defect defect)
+    : script_{std::move(script)}, defect_{defect}
 {
     if (chance(3)) {
         limits_.lifetime = milliseconds{3'000};
@@ -137,21 +138,21 @@
     return self;
 }
 
-cluster::process_ptr cluster::at(const node_reference& node) const
+cluster::process_ptr cluster::process_at(const node_reference& node) const
 {
     return processes_[node.node_port - 1U];
 }
 
 bool cluster::is_alive(const node_reference& node) const
 {
-    return at(node)->alive && at(node)->node == node;
+    return process_at(node)->alive && process_at(node)->node == node;
 }
 
 key_environment cluster::environment_of(const std::weak_ptr<process>& self)
 {
     const auto run_after = [this, self](milliseconds delay, task work) {
         const time_point due = now() + delay;
-        auto& queue = delay >= long_delay ? late_ : pending_;
+        auto& queue = delay >= long_delay ? rarely_chosen_ : pending_;
         queue.push_back([this, self, due, work = std::move(work)] {
             const auto process = self.lock();
             if (process && process->alive) {
@@ -191,7 +192,7 @@
 {
     if (!chance(10)) {
         pending_.push_back([this, to, deliver = std::move(deliver), refused] {
-            const auto target = at(to);
+            const auto target = process_at(to);
             if (!target->alive) {
                 refused();
                 return;
@@ -199,7 +200,7 @@
             deliver(target);
         });
     }
-    (chance(4) ? pending_ : late_).push_back(std::move(lost));
+    (chance(4) ? pending_ : rarely_chosen_).push_back(std::move(lost));
 }
 
 void cluster::receive_call(const process_ptr& self, const service_call& call, const call_done& done)
@@ -207,7 +208,7 @@
     const auto fingerprint = request_fingerprint(call.request);
     auto decision = self->keys->enqueue(call.idempotency_key, fingerprint, done, now());
     if (chance(8)) {
-        // A second copy of the call that arrives at any time later; nobody waits for its reply.
+        // A duplicate of the call that arrives at any later time. No caller waits for its reply.
         pending_.push_back([this, self, call] {
             if (self->alive) {
                 receive_call(self, call, [](const call_result&) {});
@@ -240,25 +241,25 @@
 
 void cluster::run_upstream(const process_ptr& self, const key_id& id, const service_call& call)
 {
-    const std::size_t way = choose(10);
+    const std::size_t draw = choose(10);
     if (!self->alive) {
         return;
     }
-    if (way == 9) {
+    if (draw == 9) {
         self->keys->finish(id, not_run(reason_code::upstream_refused), now());
         return;
     }
-    const std::size_t run = seen_.executions.size();
-    seen_.executions.push_back({call.idempotency_key, call.request.body, now_ms_, {}, ""});
-    pending_.push_back([this, self, id, run, lost = way == 8] {
-        auto& execution = seen_.executions[run];
+    const std::size_t run = history_.executions.size();
+    history_.executions.push_back({call.idempotency_key, call.request.body, now_ms_, {}, ""});
+    pending_.push_back([this, self, id, run, lost = draw == 8] {
+        auto& execution = history_.executions[run];
         execution.end = now_ms_;
         execution.response = "response " + std::to_string(run);
         if (!self->alive) {
             return;
         }
         if (lost) {
-            seen_.disturbances.push_back(
+            history_.disturbances.push_back(
                 {history::disturbance_record::kind::fault, "upstream", now_ms_});
             self->keys->finish(id, unknown_outcome(reason_code::upstream_connection_lost), now());
             return;
@@ -271,7 +272,7 @@
 
 absl::StatusOr<settle_result> cluster::receive_settle(process& self, const std::string& key)
 {
-    if (broken_ == injected_defect::fence_is_not_kept &&
+    if (defect_ == injected_defect::fence_is_not_kept &&
         started_.count({self.node.instance, key}) == 0U) {
         return settle_result{settle_state::fenced, {}, reason_code::key_fenced, {}};
     }
@@ -297,29 +298,29 @@
     if (!query && chance(12)) {
         call.request.body += " altered";
     }
-    auto made = std::make_shared<invocation>();
-    made->ingress = ingress;
-    made->record.id = std::to_string(invocations_.size());
-    made->record.key = key;
-    made->record.payload = query ? "" : call.request.body;
-    made->record.start = now_ms_;
+    auto new_invocation = std::make_shared<invocation>();
+    new_invocation->ingress = ingress;
+    new_invocation->record.id = std::to_string(invocations_.size());
+    new_invocation->record.key = key;
+    new_invocation->record.payload = query ? "" : call.request.body;
+    new_invocation->record.start = now_ms_;
     const auto content = decode(key, secret);
     for (const auto& candidate : content->candidates) {
-        made->record.candidates.push_back(std::to_string(candidate.instance));
+        new_invocation->record.candidates.push_back(std::to_string(candidate.instance));
     }
-    invocations_.push_back(made);
-    ask_owner(ingress, call, query, [this, made](const call_result& result) {
-        ++made->answers;
-        made->record.end = now_ms_;
-        made->record.outcome = result.outcome;
-        made->record.reason = result.reason;
-        made->record.response = result.response.body;
-        seen_.calls.push_back(made->record);
+    invocations_.push_back(new_invocation);
+    send_to_owner(ingress, call, query, [this, new_invocation](const call_result& result) {
+        ++new_invocation->results;
+        new_invocation->record.end = now_ms_;
+        new_invocation->record.outcome = result.outcome;
+        new_invocation->record.reason = result.reason;
+        new_invocation->record.response = result.response.body;
+        history_.calls.push_back(new_invocation->record);
     });
 }
 
-void cluster::ask_owner(const process_ptr& ingress, const service_call& call, bool query,
-                        const call_done& done)
+void cluster::send_to_owner(const process_ptr& ingress, const service_call& call, bool query,
+                            const call_done& done)
 {
     const auto owner = decode(call.idempotency_key, secret)->owner;
     if (owner == ingress->node) {
@@ -332,19 +333,19 @@
     }
     ingress->peers->forward(
         owner, call, query, [this, ingress, call, query, done](const call_result& result) {
-            const bool out_of_reach = result.outcome == call_outcome::unknown &&
-                                      (result.reason == reason_code::owner_unreachable ||
-                                       result.reason == reason_code::wrong_instance);
-            if (!out_of_reach) {
+            const bool unreachable = result.outcome == call_outcome::unknown &&
+                                     (result.reason == reason_code::owner_unreachable ||
+                                      result.reason == reason_code::wrong_instance);
+            if (!unreachable) {
                 done(result);
                 return;
             }
-            if (broken_ == injected_defect::failed_forward_is_proof) {
+            if (defect_ == injected_defect::failed_forward_is_proof) {
                 done(not_run(reason_code::peer_unreachable));
                 return;
             }
             if (chance(3)) {
-                ask_owner(ingress, call, query, done);
+                send_to_owner(ingress, call, query, done);
                 return;
             }
             const auto request =
@@ -353,22 +354,22 @@
         });
 }
 
-void cluster::crash(std::size_t index)
+void cluster::crash_or_restart(std::size_t index)
 {
-    auto& victim = processes_[index];
-    if (victim->alive) {
-        victim->alive = false;
-        seen_.disturbances.push_back({history::disturbance_record::kind::death,
-                                      std::to_string(victim->node.instance), now_ms_});
+    auto& target = processes_[index];
+    if (target->alive) {
+        target->alive = false;
+        history_.disturbances.push_back({history::disturbance_record::kind::death,
+                                         std::to_string(target->node.instance), now_ms_});
         return;
     }
-    victim = start_process(victim->node.node_port);
+    target = start_process(target->node.node_port);
 }
 
-void cluster::fire(std::vector<task>& from, std::size_t index)
+void cluster::run_task(std::vector<task>& tasks, std::size_t index)
 {
-    task work = std::move(from[index]);
-    from.erase(from.begin() + static_cast<std::ptrdiff_t>(index));
+    task work = std::move(tasks[index]);
+    tasks.erase(tasks.begin() + static_cast<std::ptrdiff_t>(index));
     now_ms_ += 1;
     work();
 }
@@ -381,31 +382,31 @@
     }
     else if (action <= 3 && !keys_.empty()) {
         const auto& ingress = processes_[choose(process_count)];
-        // Recent keys are more interesting, because most of the others are final.
+        // Prefers recent keys, because most older ones are final.
         const std::size_t back = choose(std::min<std::size_t>(keys_.size(), 4));
         if (ingress->alive) {
             invoke(ingress, keys_.size() - 1 - back, action == 3 && chance(2));
         }
     }
     else if (action == 4 && chance(5)) {
-        crash(choose(process_count));
+        crash_or_restart(choose(process_count));
     }
-    else if (action == 5 && !late_.empty()) {
-        fire(late_, choose(late_.size()));
+    else if (action == 5 && !rarely_chosen_.empty()) {
+        run_task(rarely_chosen_, choose(rarely_chosen_.size()));
     }
     else if (!pending_.empty()) {
-        fire(pending_, choose(pending_.size()));
+        run_task(pending_, choose(pending_.size()));
     }
 }
 
 void cluster::drain()
 {
-    for (std::size_t steps = 0; !pending_.empty() || !late_.empty(); ++steps) {
+    for (std::size_t steps = 0; !pending_.empty() || !rarely_chosen_.empty(); ++steps) {
         if (steps == max_drain_steps) {
             drained_ = false;
             return;
         }
-        fire(pending_.empty() ? late_ : pending_, 0);
+        run_task(pending_.empty() ? rarely_chosen_ : pending_, 0);
     }
 }
 
@@ -419,21 +420,22 @@
     for (std::size_t i = 0; i < keys_.size(); ++i) {
         const auto owner = decode(keys_[i], secret)->owner;
         if (is_alive(owner)) {
-            invoke(at(owner), i, true);
+            invoke(process_at(owner), i, true);
         }
     }
     drain();
     run_report result;
     result.drained = drained_;
-    result.executions = seen_.executions.size();
+    result.executions = history_.executions.size();
     for (std::size_t i = 0; i < invocations_.size(); ++i) {
-        const auto& each = *invocations_[i];
-        const bool running = each.record.reason == reason_code::key_running;
-        if (each.ingress->alive && (each.answers != 1 || (i >= last_queries && running))) {
+        const auto& invocation = *invocations_[i];
+        const bool running = invocation.record.reason == reason_code::key_running;
+        if (invocation.ingress->alive &&
+            (invocation.results != 1 || (i >= last_queries && running))) {
             ++result.unsettled;
         }
     }
-    result.checked = history::check(seen_);
+    result.report = history::check(history_);
     return result;
 }
 
--- a/unittests/keys/key_simulation.h
+++ b/unittests/keys/key_simulation.h
@@ -15,29 +15,31 @@
 
 namespace chestnutstand::simulation {
 
-/// Rules that a run may break on purpose, to show that the checks notice it.
+/// Defects that a run may contain on purpose, to show that the checks detect them.
 enum class injected_defect : std::uint8_t {
     none,
-    lost_reply_is_refusal,   ///< The owner moves on without settlement.
-    fence_is_not_kept,       ///< Executors claim a fence that they do not record.
-    silence_is_fence,        ///< A candidate that does not reply to a settlement counts as fenced.
-    failed_forward_is_proof, ///< An ingress reports not-run when it cannot reach the owner.
+    lost_reply_is_refusal,   ///< The owner tries the next candidate without settling the key.
+    fence_is_not_kept,       ///< Executors report a fence that they do not record.
+    missing_reply_is_fence,  ///< A candidate that does not reply to a settlement counts as fenced.
+    failed_forward_is_proof, ///< An ingress reports not_run when it cannot reach the owner.
 };
 
 struct run_report {
-    history::report checked;
+    history::report report;
     std::size_t executions = 0;
-    /// Calls answered other than once, or keys still in progress after all messages arrived.
+    /// Calls that got no result or several, and keys still in progress after all messages arrived.
     std::size_t unsettled = 0;
+    /// False when tasks were still pending after the maximum number of steps.
     bool drained = true;
 };
 
-/// Processes in one thread with messages, timers and crashes in the order that a script of choices
-/// selects. Every message and timer may be delayed arbitrarily, which includes paused processes.
-/// When the script ends, everything still pending is delivered, and the history is checked.
+/// Simulates the processes of a cluster in one thread. A script of choices determines the order of
+/// messages, timers and crashes. Every message and timer may be delayed arbitrarily, which covers
+/// paused processes. At the end of the script, all pending messages and timers are processed, and
+/// the history is checked.
 class cluster {
 public:
-    cluster(std::vector<std::uint8_t> script, injected_defect broken);
+    cluster(std::vector<std::uint8_t> script, injected_defect defect);
     cluster(const cluster&) = delete;
     cluster& operator=(const cluster&) = delete;
     ~cluster();
@@ -57,12 +59,12 @@
     time_point now() const { return time_point{milliseconds{now_ms_}}; }
 
     process_ptr start_process(std::uint16_t port);
-    process_ptr at(const node_reference& node) const;
+    process_ptr process_at(const node_reference& node) const;
     bool is_alive(const node_reference& node) const;
     key_environment environment_of(const std::weak_ptr<process>& self);
     candidate_selection selection();
 
-    /// Sends one message; exactly one of the three tasks may have an effect on the sender.
+    /// Sends one message. Exactly one of the three tasks may have an effect on the sender.
     void transmit(const node_reference& to, std::function<void(const process_ptr&)> deliver,
                   const task& refused, task lost);
     void receive_call(const process_ptr& self, const service_call& call, const call_done& done);
@@ -72,27 +74,27 @@
 
     void issue_key();
     void invoke(const process_ptr& ingress, std::size_t key_index, bool query);
-    void ask_owner(const process_ptr& ingress, const service_call& call, bool query,
-                   const call_done& done);
-    void crash(std::size_t index);
+    void send_to_owner(const process_ptr& ingress, const service_call& call, bool query,
+                       const call_done& done);
+    void crash_or_restart(std::size_t index);
     void step();
     void drain();
-    void fire(std::vector<task>& from, std::size_t index);
+    void run_task(std::vector<task>& tasks, std::size_t index);
 
     std::vector<std::uint8_t> script_;
     std::size_t position_ = 0;
-    injected_defect broken_;
+    injected_defect defect_;
     key_table_limits limits_;
     double now_ms_ = 0;
     std::uint64_t next_instance_ = 100;
     std::vector<process_ptr> processes_;
     std::vector<task> pending_;
-    /// Timeouts and long timers, which are chosen rarely.
-    std::vector<task> late_;
+    /// Timeouts and long timers, which the script chooses rarely.
+    std::vector<task> rarely_chosen_;
     std::vector<std::string> keys_;
     std::set<std::pair<std::uint64_t, std::string>> started_;
     std::vector<std::shared_ptr<invocation>> invocations_;
-    history::records seen_;
+    history::records history_;
     bool drained_ = true;
 };
 
--- a/unittests/keys/key_simulation_links.h
+++ b/unittests/keys/key_simulation_links.h
@@ -1,4 +1,4 @@
-// How the processes of the simulation reach each other.
+// Simulated connections between the processes of the cluster.
 
 #pragma once
 
@@ -9,30 +9,32 @@
 struct cluster::invocation {
     process_ptr ingress;
     history::call_record record;
-    std::size_t answers = 0;
+    std::size_t results = 0;
 };
 
 class cluster::executor : public key_executor {
 public:
-    executor(cluster& all, std::weak_ptr<process> self) : all_{all}, self_{std::move(self)} {}
+    executor(cluster& parent, std::weak_ptr<process> self) : parent_{parent}, self_{std::move(self)}
+    {
+    }
 
     void execute(const service_call& call, call_done done) override
     {
-        all_.receive_call(self_.lock(), call, done);
+        parent_.receive_call(self_.lock(), call, done);
     }
     void settle(const std::string& key, peer_client::settle_done done) override
     {
-        done(all_.receive_settle(*self_.lock(), key));
+        done(parent_.receive_settle(*self_.lock(), key));
     }
 
 private:
-    cluster& all_;
+    cluster& parent_;
     std::weak_ptr<process> self_;
 };
 
 class cluster::peers : public peer_client {
 public:
-    peers(cluster& all, std::weak_ptr<process> self) : all_{all}, self_{std::move(self)} {}
+    peers(cluster& parent, std::weak_ptr<process> self) : parent_{parent}, self_{std::move(self)} {}
 
     void execute(const node_reference& target, const service_call& call, call_done done) override;
     void forward(const node_reference& owner, const service_call& call, bool query_only,
@@ -47,17 +49,18 @@
     }
 
 private:
-    /// Posts replies as messages of their own, which may be delayed or overtaken.
+    /// Returns a callback that delivers a reply as a message of its own, which may be delayed or
+    /// reordered.
     template <typename Result>
-    static std::function<void(Result)> later(cluster& all, std::function<void(Result)> done)
+    static std::function<void(Result)> as_message(cluster& parent, std::function<void(Result)> done)
     {
-        return [&all, done = std::move(done)](Result result) {
-            all.pending_.push_back([done, result = std::move(result)] { done(result); });
+        return [&parent, done = std::move(done)](Result result) {
+            parent.pending_.push_back([done, result = std::move(result)] { done(result); });
         };
     }
-    std::function<bool()> alive();
+    std::function<bool()> liveness_check() const;
 
-    cluster& all_;
+    cluster& parent_;
     std::weak_ptr<process> self_;
 };
 
--- a/unittests/keys/key_table_test.cpp
+++ b/unittests/keys/key_table_test.cpp
@@ -36,9 +36,9 @@
     return [](const call_result&) {};
 }
 
-// Guards against a second run of a key whose record has outlived its lifetime, however late the
-// second copy arrives and whichever time its thread has read.
-TEST(key_table, never_admits_a_forgotten_key)
+// Guards against a second run of a key whose record was removed after its lifetime, no matter how
+// late the duplicate arrives and which time its thread has read.
+TEST(key_table, never_admits_a_removed_key)
 {
     key_table table{{}};
     const key_id later{7, 5};
@@ -58,9 +58,9 @@
               key_admission::kind::admitted);
 }
 
-// Guards against a full table that makes room by forgetting a result, or that refuses a key
-// without closing it.
-TEST(key_table, refuses_for_good_when_full)
+// Guards against a full table that evicts a result to make space, or that refuses a key without
+// closing it.
+TEST(key_table, refusal_when_full_is_final)
 {
     key_table table{small_limits(5'000, 2'000)};
     std::uint64_t sequence = 0;
@@ -75,15 +75,15 @@
         table.finish({7, i}, completed("x"), at(1));
     }
     EXPECT_EQ(table.result(first_key).response.body, "x");
-    // There is space again, but the refused key stays closed.
+    // The table has space again, but the refused key stays closed.
     EXPECT_EQ(table.admit({7, sequence}, request, ignore(), at(2)).result.outcome,
               call_outcome::not_run);
     EXPECT_EQ(table.admit({7, sequence + 1}, request, ignore(), at(2)).status,
               key_admission::kind::admitted);
 }
 
-// Guards against a claim that a key is closed when there was no space to record it.
-TEST(key_table, claims_nothing_without_a_record)
+// Guards against a key that is reported as closed although there was no space for its record.
+TEST(key_table, reports_a_key_as_absent_when_it_cannot_record_the_close)
 {
     key_table table{small_limits(100, 100)};
     released_waiters released;
@@ -93,14 +93,15 @@
               call_outcome::unknown);
 }
 
-// Guards against a response larger than the space left: waiters get it, and later callers must not
-// get a part of it.
+// Guards against a table that exceeds its bytes, or that gives later callers part of a response,
+// when the response is larger than the space left. Waiters still get the whole response.
 TEST(key_table, reports_unknown_when_a_response_does_not_fit)
 {
     key_table table{small_limits(4'000, 1'000)};
     std::string received;
     table.admit(
-        first_key, request, [&](const call_result& r) { received = r.response.body; }, at(0));
+        first_key, request, [&](const call_result& result) { received = result.response.body; },
+        at(0));
     table.start(first_key);
     table.finish(first_key, completed(std::string(5'000, 'a')), at(1)).notify();
     EXPECT_EQ(received.size(), 5'000U);
@@ -108,7 +109,7 @@
     EXPECT_LE(table.bytes_used(), 4'000U);
 }
 
-// Guards against a key that runs another request than the one it was first used with.
+// Guards against a key that runs or returns the response of another request than its first one.
 TEST(key_table, refuses_another_request)
 {
     key_table table{{}};
@@ -120,13 +121,13 @@
               reason_code::key_reused);
 }
 
-// Guards against a caller that is answered twice or never, a start after a closing, a change of a
-// final result, and a table that exceeds its bytes; over arbitrary sequences of operations.
-TEST(key_table, property_every_caller_is_answered_once_and_final_states_stay)
+// Guards against a caller that gets two results or none, a start after a close, a final state that
+// changes, and a table that exceeds its bytes, in arbitrary sequences of operations.
+TEST(key_table, property_every_caller_gets_one_result_and_final_states_stay)
 {
     EXPECT_TRUE(rc::check([] {
         key_table table{small_limits(8'000, 3'000)};
-        std::map<std::uint64_t, int> answers;
+        std::map<std::uint64_t, int> results_by_caller;
         std::map<std::uint64_t, key_state> final_states;
         std::set<std::uint64_t> started;
         int callers = 0;
@@ -136,8 +137,8 @@
         const auto check = [&] {
             for (std::uint64_t sequence = 1; sequence < 8; ++sequence) {
                 const auto state = table.state({7, sequence});
-                const auto known = final_states.find(sequence);
-                RC_ASSERT(known == final_states.end() || known->second == state);
+                const auto final_state = final_states.find(sequence);
+                RC_ASSERT(final_state == final_states.end() || final_state->second == state);
                 if (is_final(state)) {
                     final_states[sequence] = state;
                 }
@@ -151,9 +152,13 @@
             if (operation == 0) {
                 const int caller = callers++;
                 const auto admitted = table.admit(
-                    id, request, [&answers, caller](const call_result&) { ++answers[caller]; },
+                    id, request,
+                    [&results_by_caller, caller](const call_result&) {
+                        ++results_by_caller[caller];
+                    },
                     at(now));
-                answers[caller] += admitted.status == key_admission::kind::answered ? 1 : 0;
+                results_by_caller[caller] +=
+                    admitted.status == key_admission::kind::answered ? 1 : 0;
             }
             else if (operation == 1 && table.start(id)) {
                 RC_ASSERT(started.insert(id.sequence).second);
@@ -174,7 +179,7 @@
             table.finish({7, sequence}, completed("x"), at(now)).notify();
         }
         for (int caller = 0; caller < callers; ++caller) {
-            RC_ASSERT(answers[caller] == 1);
+            RC_ASSERT(results_by_caller[caller] == 1);
         }
     }));
 }
