--- a/lib/node/dispatched_call.h
+++ b/lib/node/dispatched_call.h
@@ -18,11 +18,11 @@
 
 namespace chestnutstand {
 
-/// One dispatched call with its attempts.
+/// State of one dispatched call and its attempts.
 struct dispatched_call {
-    dispatched_call(const service_call& given, call_done callback, bool may_repeat)
-        : call{given}, done{std::move(callback)},
-          idempotent{may_repeat}, budget{std::min(given.retry_budget, largest_tree_budget)}
+    dispatched_call(const service_call& dispatched, call_done callback, bool may_repeat)
+        : call{dispatched}, done{std::move(callback)},
+          idempotent{may_repeat}, budget{std::min(dispatched.retry_budget, largest_tree_budget)}
     {
     }
 
@@ -33,22 +33,24 @@
     const time_point started = ms_clock::now();
     std::mutex mutex;
     tree_budget budget;
-    std::vector<std::uint64_t> tried;
-    /// Those of them that would not start the call at once because their upstream was slow.
-    std::vector<std::uint64_t> slow;
-    /// The call waits for a slow upstream, because there is no other.
+    /// Instances that the call has been sent to.
+    std::vector<std::uint64_t> tried_members;
+    /// The tried instances that refused the call only because their upstream was slow.
+    std::vector<std::uint64_t> slow_members;
+    /// Whether the call may wait for a slow upstream, because no other member is left.
     bool slow_members_allowed = false;
-    /// One for each attempt, so that the attempts that lose against a hedge can be ended.
-    std::vector<std::shared_ptr<cancellation>> cancels;
+    /// One for each attempt, so that the attempts that a hedge overtakes can be cancelled.
+    std::vector<std::shared_ptr<cancellation>> cancellations;
+    /// Number of attempts that have been started.
     std::size_t placements = 0;
-    /// Attempts that admission queues have refused.
+    /// Number of attempts that an admission queue refused.
     std::size_t queue_refusals = 0;
     std::uint64_t document_version = 0;
-    /// What became of the attempts, for the log line of the call.
+    /// Result and instance of each finished attempt, for the log line of the call.
     std::string history;
-    std::size_t running = 0;
+    std::size_t attempts_in_flight = 0;
     bool finished = false;
-    /// The result that says most about whether the call ran.
+    /// Failure to report if no attempt succeeds: a possible run takes precedence over a refusal.
     std::optional<call_result> failure;
 
     void note_attempt(const call_result& result, std::uint64_t member)
@@ -59,14 +61,16 @@
         absl::StrAppend(&history, history.empty() ? "" : " ", end, "@", absl::Hex(member));
     }
 
-    /// Makes the members that only were slow eligible again; false when there are none.
+    /// Makes the members that refused the call only because their upstream was slow eligible again,
+    /// and lets the call wait for them. Returns false if there are none.
     bool allow_slow_members()
     {
-        std::erase_if(tried, [this](std::uint64_t instance) {
-            return std::find(slow.begin(), slow.end(), instance) != slow.end();
+        std::erase_if(tried_members, [this](std::uint64_t instance) {
+            return std::find(slow_members.begin(), slow_members.end(), instance) !=
+                   slow_members.end();
         });
         slow_members_allowed = true;
-        return !std::exchange(slow, {}).empty();
+        return !std::exchange(slow_members, {}).empty();
     }
 };
 
--- a/lib/node/dispatcher.cpp
+++ b/lib/node/dispatcher.cpp
@@ -17,78 +17,80 @@
 namespace chestnutstand {
 namespace {
 
-/// Attempts of one dispatched call, the first included. Also bounds the attempts that reach no
-/// upstream and therefore do not draw on the budget of the call tree.
+/// Maximum attempts of one dispatched call, including the first. Also bounds the attempts that
+/// never reach an upstream and therefore do not consume the retry budget of the call tree.
 constexpr std::size_t attempt_limit = 6;
 
-/// Placements after which a call waits for a slow upstream instead of being moved on.
+/// A call that has been sent to this many members waits for a slow upstream instead of being moved
+/// to another member.
 constexpr std::size_t move_limit = 4;
 
 constexpr milliseconds probe_timeout{300};
 
-/// A new connection and one answer, also across regions.
+/// Covers a new connection and one response, also across regions.
 constexpr milliseconds settle_timeout{250};
 
-template <typename Named>
-const Named* find_named(const std::vector<Named>& entries, std::string_view name)
+template <typename Entry>
+const Entry* find_named(const std::vector<Entry>& entries, std::string_view name)
 {
     const auto found = std::find_if(entries.begin(), entries.end(),
-                                    [name](const Named& entry) { return entry.name == name; });
+                                    [name](const Entry& entry) { return entry.name == name; });
     return found == entries.end() ? nullptr : &*found;
 }
 
-/// Whether the result ends the call, so that no attempt can do better.
-bool is_final(const dispatched_call& running, const call_result& result)
+/// Returns true if no further attempt can improve on the result, so that it ends the call.
+bool is_final(const dispatched_call& state, const call_result& result)
 {
     return result.outcome == call_outcome::completed &&
-           !(running.idempotent && is_transient_failure(result.response));
+           !(state.idempotent && is_transient_failure(result.response));
 }
 
-/// Keeps the result to report when no further attempt does better. An attempt that may have run
-/// outweighs a later refusal: the call as a whole is not known to be not run.
-void keep_failure(dispatched_call& running, call_result result)
+/// Keeps the failure to report if no later attempt succeeds. An attempt that may have run takes
+/// precedence over a later refusal, because the call as a whole may then have run.
+void keep_failure(dispatched_call& state, call_result result)
 {
     const auto weight = [](call_outcome value) {
         return value == call_outcome::completed ? 2 : value == call_outcome::unknown ? 1 : 0;
     };
-    if (!running.failure || weight(result.outcome) >= weight(running.failure->outcome)) {
-        running.failure = std::move(result);
+    if (!state.failure || weight(result.outcome) >= weight(state.failure->outcome)) {
+        state.failure = std::move(result);
     }
 }
 
-/// Gives the caller its answer, with one log line that says how it came about.
-void answer(dispatched_call& ended, call_result result)
+/// Passes the result to the caller. For routed calls, logs the result and the attempts behind it.
+void complete_call(dispatched_call& state, call_result result)
 {
-    if (ended.call.repeat != repeatability::by_class) {
+    if (state.call.repeat != repeatability::by_class) {
         const bool completed = result.outcome == call_outcome::completed;
         log_event(log_level::info, "call answered",
-                  {{"request_id", ended.call.request_id},
-                   {"service", ended.call.service},
-                   {"class", ended.call.priority},
-                   {"document_version", ended.document_version},
+                  {{"request_id", state.call.request_id},
+                   {"service", state.call.service},
+                   {"class", state.call.priority},
+                   {"document_version", state.document_version},
                    {"outcome", std::string{to_string(result.outcome)}},
                    {"reason", std::string{to_string(result.reason)}},
                    {"status", std::int64_t{completed ? result.response.status : 0}},
-                   {"attempts", ended.history},
-                   {"placements", std::uint64_t{ended.placements}},
-                   {"elapsed_ms", (ms_clock::now() - ended.started).count()},
-                   {"left_ms", (ended.call.deadline - ms_clock::now()).count()}});
+                   {"attempts", state.history},
+                   {"placements", std::uint64_t{state.placements}},
+                   {"elapsed_ms", (ms_clock::now() - state.started).count()},
+                   {"left_ms", (state.call.deadline - ms_clock::now()).count()}});
     }
-    ended.done(std::move(result));
+    state.done(std::move(result));
 }
 
-/// Ends attempts that lost against a hedge; their upstreams need not finish them.
-void cancel_other_attempts(dispatched_call& running)
+/// Cancels the attempts that are still in flight after another attempt has ended the call, so that
+/// their upstreams can abandon them.
+void cancel_other_attempts(dispatched_call& state)
 {
-    std::vector<std::shared_ptr<cancellation>> cancels;
+    std::vector<std::shared_ptr<cancellation>> cancellations;
     {
-        const std::lock_guard lock{running.mutex};
-        if (running.running == 0) {
+        const std::lock_guard lock{state.mutex};
+        if (state.attempts_in_flight == 0) {
             return;
         }
-        cancels.swap(running.cancels);
+        cancellations.swap(state.cancellations);
     }
-    for (const std::shared_ptr<cancellation>& attempt : cancels) {
+    for (const std::shared_ptr<cancellation>& attempt : cancellations) {
         attempt->cancel();
     }
 }
@@ -119,18 +121,20 @@
     using call_state = std::shared_ptr<dispatched_call>;
 
     void refuse(reason_code reason, const call_done& done);
-    bool start_attempt(const call_state& running);
-    void finish_attempt(const call_state& running, std::uint32_t carried, std::uint64_t member,
+    bool start_attempt(const call_state& state);
+    void finish_attempt(const call_state& state, std::uint32_t attempt_budget, std::uint64_t member,
                         call_result result);
-    bool needs_settlement(const dispatched_call& running, const peer& target,
+    bool needs_settlement(const dispatched_call& state, const peer& target,
                           const call_result& result) const;
-    void settle(const call_state& running, std::uint32_t carried, const node_reference& target);
-    bool retry(const call_state& running, const call_result& result);
-    void schedule_time_limit(const call_state& running);
-    void schedule_hedge(const call_state& running);
-    void hedge(const call_state& running);
-    void send(const std::shared_ptr<peer>& target, const service_call& call, std::uint32_t carried,
-              bool movable, const std::shared_ptr<cancellation>& cancel, call_done done);
+    void settle(const call_state& state, std::uint32_t attempt_budget,
+                const node_reference& target);
+    bool retry(const call_state& state, const call_result& result);
+    void schedule_time_limit(const call_state& state);
+    void schedule_hedge(const call_state& state);
+    void hedge(const call_state& state);
+    void send(const std::shared_ptr<peer>& target, const service_call& call,
+              std::uint32_t attempt_budget, bool movable,
+              const std::shared_ptr<cancellation>& cancel, call_done done);
     void probe_stale_member(const std::string& service);
 
     peer_client& peers_;
@@ -171,109 +175,111 @@
         refuse(reason_code::key_required, done);
         return;
     }
-    const auto running = std::make_shared<dispatched_call>(call, std::move(done), idempotent);
-    running->document_version = configuration->version;
-    if (!start_attempt(running)) {
-        refuse(reason_code::no_route, running->done);
+    const auto state = std::make_shared<dispatched_call>(call, std::move(done), idempotent);
+    state->document_version = configuration->version;
+    if (!start_attempt(state)) {
+        refuse(reason_code::no_route, state->done);
         return;
     }
     if (!by_class) {
-        schedule_time_limit(running);
+        schedule_time_limit(state);
     }
-    schedule_hedge(running);
+    schedule_hedge(state);
     probe_stale_member(call.service);
 }
 
-/// Answers a caller at the end of its time whatever the attempts do. They are not cancelled: each
-/// carries the same deadline, and its end tells more than a closed connection.
-void dispatcher::core::schedule_time_limit(const call_state& running)
+/// Completes the call at its deadline whatever the state of its attempts. The attempts are not
+/// cancelled: each carries the same deadline, and its own result says more about the member than a
+/// closed connection does.
+void dispatcher::core::schedule_time_limit(const call_state& state)
 {
     if (!options_.run_after) {
         return;
     }
-    options_.run_after(running->call.deadline - options_.now(),
-                       [waiting = std::weak_ptr<dispatched_call>{running}] {
-                           const call_state late = waiting.lock();
-                           if (!late) {
+    options_.run_after(state->call.deadline - options_.now(),
+                       [weak_state = std::weak_ptr<dispatched_call>{state}] {
+                           const call_state expired = weak_state.lock();
+                           if (!expired) {
                                return;
                            }
                            {
-                               const std::lock_guard lock{late->mutex};
-                               if (std::exchange(late->finished, true)) {
+                               const std::lock_guard lock{expired->mutex};
+                               if (std::exchange(expired->finished, true)) {
                                    return;
                                }
                            }
-                           answer(*late, unknown_outcome(reason_code::time_limit));
+                           complete_call(*expired, unknown_outcome(reason_code::time_limit));
                        });
 }
 
-/// Sends the call to a member that has not had it yet; false when there is none or the budget of
-/// the call tree is used up.
-bool dispatcher::core::start_attempt(const call_state& running)
+/// Sends the call to a member that has not been tried yet. Returns false if there is none, or if
+/// the attempts of the call or its retry budget are used up.
+bool dispatcher::core::start_attempt(const call_state& state)
 {
     std::shared_ptr<peer> target;
-    std::uint32_t carried = 0;
+    std::uint32_t attempt_budget = 0;
     bool movable = false;
-    const bool by_class = running->call.repeat == repeatability::by_class;
+    const bool by_class = state->call.repeat == repeatability::by_class;
     const auto cancel = std::make_shared<cancellation>();
     {
-        const std::lock_guard lock{running->mutex};
-        if (running->finished || running->placements >= attempt_limit) {
+        const std::lock_guard lock{state->mutex};
+        if (state->finished || state->placements >= attempt_limit) {
             return false;
         }
-        const std::optional<std::uint32_t> part = running->budget.start();
-        if (!part) {
+        const std::optional<std::uint32_t> share = state->budget.start();
+        if (!share) {
             return false;
         }
-        carried = *part;
-        const service_call& call = running->call;
+        attempt_budget = *share;
+        const service_call& call = state->call;
         const auto choose = [&] {
-            return selector_.choose(call.service, call.priority, running->tried,
-                                    running->queue_refusals);
+            return selector_.choose(call.service, call.priority, state->tried_members,
+                                    state->queue_refusals);
         };
         target = choose();
-        if (!target && running->allow_slow_members()) {
+        if (!target && state->allow_slow_members()) {
             target = choose();
         }
         if (!target) {
-            running->budget.give_back(carried);
+            state->budget.give_back(attempt_budget);
             return false;
         }
-        ++running->placements;
-        running->tried.push_back(target->node.instance);
-        movable = !by_class && !running->slow_members_allowed && running->placements < move_limit;
-        running->cancels.push_back(cancel);
-        ++running->running;
+        ++state->placements;
+        state->tried_members.push_back(target->node.instance);
+        movable = !by_class && !state->slow_members_allowed && state->placements < move_limit;
+        state->cancellations.push_back(cancel);
+        ++state->attempts_in_flight;
     }
-    if (running->call.cancel) {
-        running->call.cancel->on_cancel([cancel] { cancel->cancel(); });
+    if (state->call.cancel) {
+        state->call.cancel->on_cancel([cancel] { cancel->cancel(); });
     }
-    send(target, running->call, carried, movable, cancel,
-         [self = shared_from_this(), running, carried, target](call_result result) {
-             if (self->needs_settlement(*running, *target, result)) {
-                 self->settle(running, carried, target->node);
+    send(target, state->call, attempt_budget, movable, cancel,
+         [self = shared_from_this(), state, attempt_budget, target](call_result result) {
+             if (self->needs_settlement(*state, *target, result)) {
+                 self->settle(state, attempt_budget, target->node);
                  return;
              }
-             self->finish_attempt(running, carried, target->node.instance, std::move(result));
+             self->finish_attempt(state, attempt_budget, target->node.instance, std::move(result));
          });
     return true;
 }
 
-/// Whether the executor can tell what became of a call whose answer was lost with its connection.
-bool dispatcher::core::needs_settlement(const dispatched_call& running, const peer& target,
+/// Returns true if the response of an at-most-once call was lost with the connection to another
+/// node and there is time to ask the executor there for the outcome.
+bool dispatcher::core::needs_settlement(const dispatched_call& state, const peer& target,
                                         const call_result& result) const
 {
-    return running.call.repeat == repeatability::at_most_once &&
+    return state.call.repeat == repeatability::at_most_once &&
            result.reason == reason_code::peer_connection_lost &&
            target.node.instance != options_.self_instance &&
-           options_.now() + settle_timeout < running.call.deadline;
+           options_.now() + settle_timeout < state.call.deadline;
 }
 
-void dispatcher::core::settle(const call_state& running, std::uint32_t carried,
+void dispatcher::core::settle(const call_state& state, std::uint32_t attempt_budget,
                               const node_reference& target)
 {
-    peers_.settle(target, attempt_key(running->call.request_id), settle_timeout,
-                  [self = shared_from_this(), running, carried,
+    peers_.settle(target, attempt_key(state->call.request_id), settle_timeout,
+                  [self = shared_from_this(), state, attempt_budget,
                    member = target.instance](absl::StatusOr<settle_result> settled) {
                       call_result result = unknown_outcome(reason_code::peer_connection_lost);
                       if (settled.ok() && settled->state == settle_state::completed) {
@@ -285,72 +291,72 @@
                       else if (settled.ok() && settled->state == settle_state::fenced) {
                           result = not_run(reason_code::key_fenced);
                       }
-                      self->finish_attempt(running, carried, member, std::move(result));
+                      self->finish_attempt(state, attempt_budget, member, std::move(result));
                   });
 }
 
-void dispatcher::core::finish_attempt(const call_state& running, std::uint32_t carried,
+void dispatcher::core::finish_attempt(const call_state& state, std::uint32_t attempt_budget,
                                       std::uint64_t member, call_result result)
 {
-    const bool ends_call = is_final(*running, result);
+    const bool ends_call = is_final(*state, result);
     {
-        const std::lock_guard lock{running->mutex};
-        --running->running;
-        if (running->finished) {
+        const std::lock_guard lock{state->mutex};
+        --state->attempts_in_flight;
+        if (state->finished) {
             return;
         }
-        running->note_attempt(result, member);
-        running->queue_refusals += refused_by_queue(result) ? 1 : 0;
+        state->note_attempt(result, member);
+        state->queue_refusals += refused_by_queue(result) ? 1 : 0;
         if (result.reason == reason_code::upstream_slow && result.load) {
-            running->slow.push_back(result.load->instance);
+            state->slow_members.push_back(result.load->instance);
         }
         if (!reached_upstream(result)) {
-            running->budget.give_back(carried);
+            state->budget.give_back(attempt_budget);
         }
-        running->finished = ends_call;
+        state->finished = ends_call;
         if (!ends_call) {
-            keep_failure(*running, result);
-            if (running->running > 0) {
+            keep_failure(*state, result);
+            if (state->attempts_in_flight > 0) {
                 return;
             }
         }
     }
     if (ends_call) {
-        answer(*running, std::move(result));
-        cancel_other_attempts(*running);
+        complete_call(*state, std::move(result));
+        cancel_other_attempts(*state);
         return;
     }
-    if (retry(running, result)) {
+    if (retry(state, result)) {
         return;
     }
     {
-        const std::lock_guard lock{running->mutex};
-        if (running->finished || running->running > 0) {
+        const std::lock_guard lock{state->mutex};
+        if (state->finished || state->attempts_in_flight > 0) {
             return;
         }
-        running->finished = true;
+        state->finished = true;
     }
-    answer(*running, std::move(*running->failure));
+    complete_call(*state, std::move(*state->failure));
 }
 
-bool dispatcher::core::retry(const call_state& running, const call_result& result)
+bool dispatcher::core::retry(const call_state& state, const call_result& result)
 {
-    if (result.outcome != call_outcome::not_run && !running->idempotent) {
+    if (result.outcome != call_outcome::not_run && !state->idempotent) {
         return false;
     }
-    if (result.reason == reason_code::caller_gone || options_.now() >= running->call.deadline) {
+    if (result.reason == reason_code::caller_gone || options_.now() >= state->call.deadline) {
         return false;
     }
-    // A refusal before the upstream has cost it nothing, and moving the call on costs it one
-    // request as before.
-    const bool repeats = reached_upstream(result);
-    if (repeats && !selector_.take_retry(running->call.service)) {
+    // An attempt that was refused before it reached an upstream adds no load there: moving the call
+    // to another member is still one upstream request, so it needs no retry budget.
+    const bool uses_retry_budget = reached_upstream(result);
+    if (uses_retry_budget && !selector_.take_retry(state->call.service)) {
         counters_.count(reason_event::refused, reason_code::retry_budget_exhausted);
         return false;
     }
-    if (!start_attempt(running)) {
-        if (repeats) {
-            selector_.give_back_retry(running->call.service);
+    if (!start_attempt(state)) {
+        if (uses_retry_budget) {
+            selector_.give_back_retry(state->call.service);
         }
         return false;
     }
@@ -358,50 +364,50 @@
     return true;
 }
 
-void dispatcher::core::schedule_hedge(const call_state& running)
+void dispatcher::core::schedule_hedge(const call_state& state)
 {
-    if (!options_.run_after || !running->idempotent) {
+    if (!options_.run_after || !state->idempotent) {
         return;
     }
-    const auto delay = selector_.hedge_delay(running->call.service, running->call.priority);
-    if (!delay || options_.now() + *delay >= running->call.deadline) {
+    const auto delay = selector_.hedge_delay(state->call.service, state->call.priority);
+    if (!delay || options_.now() + *delay >= state->call.deadline) {
         return;
     }
-    // The timer does not keep the body of a finished call in memory.
+    // A weak pointer, so that a pending timer does not keep the body of a finished call in memory.
     options_.run_after(
-        *delay, [self = shared_from_this(), waiting = std::weak_ptr<dispatched_call>{running}] {
-            if (const call_state still_running = waiting.lock()) {
-                self->hedge(still_running);
+        *delay, [self = shared_from_this(), weak_state = std::weak_ptr<dispatched_call>{state}] {
+            if (const call_state pending = weak_state.lock()) {
+                self->hedge(pending);
             }
         });
 }
 
-void dispatcher::core::hedge(const call_state& running)
+void dispatcher::core::hedge(const call_state& state)
 {
     {
-        const std::lock_guard lock{running->mutex};
-        if (running->finished || running->running != 1 || running->budget.exhausted()) {
+        const std::lock_guard lock{state->mutex};
+        if (state->finished || state->attempts_in_flight != 1 || state->budget.exhausted()) {
             return;
         }
     }
-    if (!selector_.take_retry(running->call.service)) {
+    if (!selector_.take_retry(state->call.service)) {
         counters_.count(reason_event::refused, reason_code::retry_budget_exhausted);
         return;
     }
-    if (!start_attempt(running)) {
-        selector_.give_back_retry(running->call.service);
+    if (!start_attempt(state)) {
+        selector_.give_back_retry(state->call.service);
         return;
     }
     hedges_.fetch_add(1);
 }
 
 void dispatcher::core::send(const std::shared_ptr<peer>& target, const service_call& call,
-                            std::uint32_t carried, bool movable,
+                            std::uint32_t attempt_budget, bool movable,
                             const std::shared_ptr<cancellation>& cancel, call_done done)
 {
     service_call attempt = call;
     attempt.movable = movable;
-    attempt.retry_budget = carried;
+    attempt.retry_budget = attempt_budget;
     attempt.cancel = cancel;
     if (call.repeat == repeatability::by_class) {
         attempt.request_id = std::to_string(options_.self_instance) + "-" +
@@ -409,21 +415,22 @@
     }
     const time_point sent = options_.now();
     target->load.begin_call(sent);
-    call_done learn = [self = shared_from_this(), target, service = call.service,
-                       priority = call.priority, cancel, sent,
-                       done = std::move(done)](call_result result) {
+    call_done record_result = [self = shared_from_this(), target, service = call.service,
+                               priority = call.priority, cancel, sent,
+                               done = std::move(done)](call_result result) {
         if (result.outcome == call_outcome::unknown && cancel && cancel->cancelled()) {
-            // An attempt that was ended from here says nothing about the member.
+            // The dispatcher or the caller cancelled the attempt; its result says nothing about the
+            // member.
             result.reason = reason_code::caller_gone;
         }
         self->selector_.record_result(*target, service, priority, result, sent);
         done(std::move(result));
     };
     if (local_ != nullptr && target->node.instance == options_.self_instance) {
-        local_->execute(attempt, std::move(learn));
+        local_->execute(attempt, std::move(record_result));
         return;
     }
-    peers_.execute(target->node, attempt, std::move(learn));
+    peers_.execute(target->node, attempt, std::move(record_result));
 }
 
 void dispatcher::core::probe_stale_member(const std::string& service)
