--- a/include/chestnutstand/node/ingress.h
+++ b/include/chestnutstand/node/ingress.h
@@ -18,27 +18,28 @@
     std::uint64_t instance = 0;
     caller_interface interface_for_callers = caller_interface::calls;
     header_names headers;
-    /// Service on whose VM the requests begin.
+    /// Service whose VM the callers run on. Sent to upstreams in headers.origin_service.
     std::string origin_service;
 };
 
-/// Takes calls over HTTP from callers and from the upstream beside this node.
+/// Accepts calls over HTTP from callers and from the upstream of this node.
 class ingress {
 public:
-    /// Without a key router, only routed requests are taken.
+    /// `keys` may be null if the interface for callers is caller_interface::routes, which has no
+    /// idempotency keys.
     ingress(ingress_options options, const snapshot<document>& in_force, dispatcher& dispatch,
             key_router* keys, metrics& stats);
 
-    /// Handles one request; the responder gets exactly one response.
+    /// Handles one request and sends exactly one response to the responder.
     void handle(const http_request& request, const std::shared_ptr<responder>& response);
 
-    /// Response to a request that the HTTP server could not read.
-    http_response refuse_unreadable(const request_refusal& why);
+    /// Returns the response to a request that the HTTP server itself refuses.
+    http_response refuse_unreadable(const request_refusal& error);
 
-    /// Asks clients to close their connections.
+    /// Adds "Connection: close" to all further responses.
     void begin_drain() { draining_ = true; }
 
-    /// Refuses all further calls.
+    /// Refuses all further requests.
     void refuse_new_calls() { refusing_ = true; }
 
     bool idle() const { return in_flight_ == 0; }
@@ -60,9 +61,9 @@
     key_router* keys_;
     metrics& stats_;
     std::atomic<std::uint64_t> next_call_ = 0;
-    /// Numbers the requests for their positions in splits.
+    /// Sequence number that determines the position of a request in the split of its route.
     std::atomic<std::uint64_t> next_position_ = 0;
-    /// Numbers the requests for the times at which refused callers come back.
+    /// Sequence number that spreads the Retry-After times of refused callers.
     std::atomic<std::uint64_t> next_retry_after_ = 0;
     std::atomic<std::uint32_t> in_flight_ = 0;
     std::atomic<bool> draining_ = false;
--- a/include/chestnutstand/node/key_router.h
+++ b/include/chestnutstand/node/key_router.h
@@ -10,22 +10,25 @@
 
 namespace chestnutstand {
 
-/// Brings keyed calls and queries to the owner of the key, and settles the key at its candidates
-/// when the owner cannot be reached. Thread-safe.
+/// Forwards calls and queries with an idempotency key to the owner of the key. If the owner cannot
+/// be reached, settles the key at its candidates. Thread-safe.
 class key_router : public std::enable_shared_from_this<key_router> {
 public:
     key_router(std::uint64_t self, std::string secret, peer_client& peers,
                std::shared_ptr<key_owner> owner, std::shared_ptr<key_settlement> settlement);
 
+    /// Issues `count` idempotency keys for calls of a service.
     absl::StatusOr<std::vector<std::string>> issue(const std::string& service, std::size_t count);
 
-    /// Runs a keyed call. A node that cannot reach the owner never starts it.
+    /// Runs a call with an idempotency key. This node never starts the call itself if it cannot
+    /// reach the owner.
     void run(const service_call& call, const call_done& done);
 
-    /// Settled outcome of the key of a call; nothing else of the call but its deadline is used.
+    /// Reports the settled outcome of the idempotency key of `call`. Reads only the key and the
+    /// deadline of the call.
     void query(const service_call& call, const call_done& done);
 
-    /// Serves a call or a query that another node has forwarded to this one.
+    /// Handles a call or query that was forwarded to this node as the owner of its key.
     void receive(const service_call& call, bool query_only, const call_done& done);
 
 private:
--- a/lib/node/call_parser.cpp
+++ b/lib/node/call_parser.cpp
@@ -13,10 +13,11 @@
 namespace {
 
 constexpr std::string_view call_prefix = "/call/";
-/// Default timeout as a multiple of the class's latency target.
+/// Default timeout as a multiple of the latency target of the priority class.
 constexpr double default_timeout_factor = 10.0;
 
-/// Number in a header; the fallback when the header is absent, nothing when it is malformed.
+/// Returns the number in a header, the fallback if the header is absent, or nothing if it is
+/// malformed.
 std::optional<std::uint32_t> read_number(const http_request& request, std::string_view name,
                                          std::uint32_t fallback)
 {
@@ -33,7 +34,8 @@
     return number;
 }
 
-/// Splits /call/{service}/{path...}; the path keeps its leading slash and its query.
+/// Splits /call/{service}/{path...} into the service and the request target of `result`, which
+/// keeps its leading slash and its query. Returns false if the service is missing.
 bool split_target(std::string_view target, service_call& result)
 {
     if (target.rfind(call_prefix, 0) != 0) {
@@ -97,13 +99,13 @@
     if (service == nullptr || service->priorities.empty()) {
         return refusal{reason_code::unknown_service, "no service is named " + result.service};
     }
-    const auto wanted = find_header(request.headers, header::priority);
+    const auto priority_name = find_header(request.headers, header::priority);
     const priority_config* priority =
-        wanted ? service->find_priority(*wanted) : &service->priorities.front();
+        priority_name ? service->find_priority(*priority_name) : &service->priorities.front();
     if (priority == nullptr) {
         return refusal{reason_code::unknown_priority, "service " + result.service +
                                                           " has no priority class " +
-                                                          std::string{*wanted}};
+                                                          std::string{*priority_name}};
     }
     result.priority = priority->name;
     if (auto refused = read_deadline(request, priority->latency_target * default_timeout_factor,
@@ -149,8 +151,8 @@
     result.repeat = matched->idempotent ? repeatability::repeatable : repeatability::at_most_once;
     result.retry_budget = matched->attempts - 1;
     result.deadline = now + matched->timeout;
-    const auto longest = static_cast<std::uint32_t>(max_timeout.count());
-    const auto timeout = read_number(request, names.timeout_ms, longest);
+    const auto max_timeout_ms = static_cast<std::uint32_t>(max_timeout.count());
+    const auto timeout = read_number(request, names.timeout_ms, max_timeout_ms);
     if (!timeout) {
         return refusal{reason_code::malformed_deadline,
                        names.timeout_ms + " must be an integer of milliseconds"};
--- a/lib/node/components/dispatcher_component.cpp
+++ b/lib/node/components/dispatcher_component.cpp
@@ -12,10 +12,13 @@
 namespace chestnutstand {
 namespace {
 
-/// Runs calls that the dispatcher gives to this node itself.
+/// Passes the calls that the dispatcher sends to this node to its executor.
 class executor_adapter final : public local_executor {
 public:
-    executor_adapter(std::uint64_t instance, executor& own) : instance_{instance}, executor_{own} {}
+    executor_adapter(std::uint64_t instance, executor& local)
+        : instance_{instance}, executor_{local}
+    {
+    }
 
     void execute(const service_call& call, call_done done) override
     {
@@ -27,7 +30,7 @@
     executor& executor_;
 };
 
-/// Provides the dispatcher, which chooses a node for each call.
+/// Provides the dispatcher.
 class dispatcher_component final : public component {
 public:
     std::vector<std::string_view> dependencies() const override
@@ -59,13 +62,13 @@
     }
 
 private:
-    static std::optional<fleet_retry_limits> limits_from(const retry_settings& retries)
+    static std::optional<fleet_retry_limits> limits_from(const retry_settings& limits)
     {
-        if (retries.window_s <= 0.0) {
+        if (limits.window_s <= 0.0) {
             return std::nullopt;
         }
-        return fleet_retry_limits{retries.ratio, retries.slack,
-                                  milliseconds{retries.window_s * 1000.0}};
+        return fleet_retry_limits{limits.ratio, limits.slack,
+                                  milliseconds{limits.window_s * 1000.0}};
     }
 
     std::unique_ptr<executor_adapter> local_;
--- a/lib/node/components/ingress_component.cpp
+++ b/lib/node/components/ingress_component.cpp
@@ -8,10 +8,10 @@
 namespace chestnutstand {
 namespace {
 
-/// Time for a body of the largest size over a slow link.
+/// Allows for a body of the maximum size over a slow link.
 constexpr milliseconds body_timeout{30'000};
 
-/// Serves callers over HTTP.
+/// Runs the HTTP server for callers and passes their requests to the ingress.
 class ingress_component final : public component {
 public:
     std::vector<std::string_view> dependencies() const override
@@ -21,22 +21,22 @@
 
     absl::Status start(kernel& node) override
     {
-        const settings& own = node.config();
+        const settings& config = node.config();
         ingress_ =
-            std::make_unique<ingress>(ingress_options{node.instance(), own.interface_for_callers,
-                                                      own.headers, own.origin_service},
+            std::make_unique<ingress>(ingress_options{node.instance(), config.interface_for_callers,
+                                                      config.headers, config.origin_service},
                                       node.get<configuration>().current(), node.get<dispatcher>(),
                                       node.find<key_router>(), node.stats());
-        const socket_address at = own.caller_address.empty()
-                                      ? socket_address{own.address, own.caller_port}
-                                      : split_address(own.caller_address);
+        const socket_address address = config.caller_address.empty()
+                                           ? socket_address{config.address, config.caller_port}
+                                           : split_address(config.caller_address);
         http_server_options options;
-        options.address = at.address;
-        options.port = at.port;
-        options.threads = own.http_threads;
+        options.address = address.address;
+        options.port = address.port;
+        options.threads = config.http_threads;
         options.current_limits = [&node] { return limits_of(node); };
-        options.refuse = [this](const request_refusal& why) {
-            return ingress_->refuse_unreadable(why);
+        options.refuse = [this](const request_refusal& error) {
+            return ingress_->refuse_unreadable(error);
         };
         server_ = std::make_unique<http_server>(
             options,
@@ -56,7 +56,7 @@
     void stop(kernel& /*node*/) override { server_->stop(); }
 
 private:
-    /// The operators' limits, once there is a document.
+    /// Returns the limits of the current document, or the defaults if there is none yet.
     static http_server_limits limits_of(kernel& node)
     {
         http_server_limits limits;
--- a/lib/node/ingress.cpp
+++ b/lib/node/ingress.cpp
@@ -22,7 +22,7 @@
 constexpr std::string_view count_parameter = "count=";
 constexpr std::size_t max_logged_target = 200;
 constexpr std::size_t max_keys_per_request = 1'000;
-/// Time that a query may take to reach the owner or to settle the key.
+/// Time for a query of an outcome to reach the owner of the key or to settle the key.
 constexpr milliseconds query_timeout{2'000};
 
 struct key_request {
@@ -30,33 +30,34 @@
     std::size_t count = 1;
 };
 
-/// Reads /keys/{service}?count=N.
+/// Parses /keys/{service}?count=N; the count defaults to 1.
 std::variant<key_request, refusal> parse_key_request(std::string_view target,
                                                      const document* in_force)
 {
     target.remove_prefix(keys_prefix.size());
     const auto end = target.find('?');
-    key_request wanted{std::string{target.substr(0, end)}, 1};
+    key_request parsed{std::string{target.substr(0, end)}, 1};
     if (in_force == nullptr) {
         return refusal{reason_code::no_configuration, "this node has no configuration yet"};
     }
-    if (in_force->find_service(wanted.service) == nullptr) {
-        return refusal{reason_code::unknown_service, "no service is named " + wanted.service};
+    if (in_force->find_service(parsed.service) == nullptr) {
+        return refusal{reason_code::unknown_service, "no service is named " + parsed.service};
     }
     if (end == std::string_view::npos) {
-        return wanted;
+        return parsed;
     }
     const std::string_view query = target.substr(end + 1);
     if (query.rfind(count_parameter, 0) != 0 ||
-        !absl::SimpleAtoi(std::string{query.substr(count_parameter.size())}, &wanted.count) ||
-        wanted.count == 0 || wanted.count > max_keys_per_request) {
+        !absl::SimpleAtoi(std::string{query.substr(count_parameter.size())}, &parsed.count) ||
+        parsed.count == 0 || parsed.count > max_keys_per_request) {
         return refusal{reason_code::malformed_request, "count must be an integer from 1 to 1000"};
     }
-    return wanted;
+    return parsed;
 }
 
-/// Position of a request in the splits of its route. Multiples of the golden ratio cover [0, 1)
-/// more evenly than random numbers, so that small samples come close to the weights as well.
+/// Returns the position in [0, 1) of a request in the weighted split of its route. Multiples of the
+/// golden ratio cover the interval more evenly than random numbers do, so that the shares of the
+/// services come close to their weights even for a few requests.
 double split_position(std::uint64_t number)
 {
     constexpr std::uint64_t golden_ratio = 0x9e3779b97f4a7c15ULL;
@@ -64,7 +65,7 @@
     return static_cast<double>(number * golden_ratio) / two_to_the_64;
 }
 
-/// Latency target of the class of a parsed call.
+/// Returns the latency target of the call's priority class, or 0 if the class is unknown.
 milliseconds latency_target_of(const document& in_force, const service_call& call)
 {
     const auto* service = in_force.find_service(call.service);
@@ -105,12 +106,12 @@
 
 void ingress::handle_issue(const http_request& request, const std::shared_ptr<responder>& response)
 {
-    const auto wanted = parse_key_request(request.target, in_force_.load().get());
-    if (const auto* refused = std::get_if<refusal>(&wanted)) {
+    const auto parsed = parse_key_request(request.target, in_force_.load().get());
+    if (const auto* refused = std::get_if<refusal>(&parsed)) {
         refuse(request, *response, refused->reason, refused->detail);
         return;
     }
-    const auto& [service, count] = std::get<key_request>(wanted);
+    const auto& [service, count] = std::get<key_request>(parsed);
     const auto keys = keys_->issue(service, count);
     if (!keys.ok()) {
         refuse(request, *response, reason_code::no_upstream, std::string{keys.status().message()});
@@ -191,8 +192,8 @@
     keys_->run(call, done);
 }
 
-// Another node may be running the key at this moment, so a call with a key cannot be said to be not
-// run by a node that has not settled the key.
+// A call with an idempotency key may be running on another node at this moment. This node has not
+// settled the key, so it reports the outcome as unknown rather than not_run.
 void ingress::refuse(const http_request& request, responder& response, reason_code reason,
                      std::string_view detail)
 {
@@ -211,16 +212,17 @@
     --in_flight_;
 }
 
-http_response ingress::refuse_unreadable(const request_refusal& why)
+http_response ingress::refuse_unreadable(const request_refusal& error)
 {
-    stats_.count(reason_event::refused, why.reason);
+    stats_.count(reason_event::refused, error.reason);
     if (options_.interface_for_callers == caller_interface::routes) {
-        return make_problem(call_outcome::not_run, why.reason, why.detail, why.status);
+        return make_problem(call_outcome::not_run, error.reason, error.detail, error.status);
     }
-    // The request may carry the key of a call that is running.
-    const bool keyless = why.headers && !find_header(*why.headers, header::idempotency_key);
-    return make_problem(keyless ? call_outcome::not_run : call_outcome::unknown, why.reason,
-                        why.detail, why.status);
+    // Without complete headers, the request may carry the idempotency key of a call that is
+    // running.
+    const bool has_no_key = error.headers && !find_header(*error.headers, header::idempotency_key);
+    return make_problem(has_no_key ? call_outcome::not_run : call_outcome::unknown, error.reason,
+                        error.detail, error.status);
 }
 
 void ingress::send(responder& to, http_response response) const
--- a/lib/node/problem.cpp
+++ b/lib/node/problem.cpp
@@ -13,9 +13,9 @@
 
 constexpr std::string_view default_retry_after_seconds = "1";
 
-std::string in_seconds(milliseconds time)
+std::string in_seconds(milliseconds duration)
 {
-    return absl::StrFormat("%.3f", time.count() / 1000.0);
+    return absl::StrFormat("%.3f", duration.count() / 1000.0);
 }
 
 std::string default_detail(call_outcome outcome)
@@ -79,7 +79,7 @@
     body["detail"] = detail.empty() ? default_detail(outcome) : std::string{detail};
     body["outcome"] = to_string(outcome);
     body["reason"] = to_string(reason);
-    // A caller may have put invalid UTF-8 into a name that the detail repeats.
+    // The detail may quote a name from the request that is not valid UTF-8.
     response.body = body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
     response.headers.push_back({"Content-Type", "application/problem+json"});
     response.headers.push_back({std::string{header::outcome}, std::string{to_string(outcome)}});
@@ -95,13 +95,13 @@
     if (result.outcome == call_outcome::completed) {
         return std::move(result.response);
     }
-    const int promise = 503;
-    auto made = make_problem(result.outcome, result.reason, {},
-                             result.outcome == call_outcome::not_run ? promise : 0);
-    if (made.status == promise) {
-        set_header(made.headers, "Retry-After", in_seconds(retry_after));
+    const int not_run_status = 503;
+    auto response = make_problem(result.outcome, result.reason, {},
+                                 result.outcome == call_outcome::not_run ? not_run_status : 0);
+    if (response.status == not_run_status) {
+        set_header(response.headers, "Retry-After", in_seconds(retry_after));
     }
-    return made;
+    return response;
 }
 
 http_response make_response(call_result result)
