--- a/unittests/node/dispatched_call_test.cpp
+++ b/unittests/node/dispatched_call_test.cpp
@@ -5,7 +5,7 @@
 namespace chestnutstand {
 namespace {
 
-// Guards against an attempt in the log that does not name its node because its answer was lost.
+// Guards against a log line that omits the node of an attempt whose response was lost.
 TEST(dispatched_call, names_the_node_of_each_attempt)
 {
     dispatched_call running{{}, {}, true};
--- a/unittests/node/dispatcher_fixture.h
+++ b/unittests/node/dispatcher_fixture.h
@@ -46,9 +46,9 @@
         service.name = "ledger";
         service.priorities = {{"lookup", milliseconds{50}, 1.0, true},
                               {"payment", milliseconds{500}, 1.0, false}};
-        auto declared = std::make_shared<document>();
-        declared->services.push_back(service);
-        configuration_.store(std::move(declared));
+        auto published = std::make_shared<document>();
+        published->services.push_back(service);
+        configuration_.store(std::move(published));
         dispatcher_options options;
         options.self_instance = 99;
         options.now = [this] { return now_; };
@@ -80,20 +80,22 @@
         call.retry_budget = 3;
         call.idempotency_key = priority == "payment" ? "key" : "";
         std::optional<call_result> result;
-        dispatcher_->dispatch(call, [&result](call_result given) { result = std::move(given); });
+        dispatcher_->dispatch(call,
+                              [&result](call_result reported) { result = std::move(reported); });
         EXPECT_TRUE(result.has_value());
         return result.value_or(unknown_outcome(reason_code::internal));
     }
 
-    /// Answers every attempt by its number, counted from zero over all calls.
-    void answer_with(std::function<call_result(int)> answer_for)
+    /// Completes every attempt with the result for its index, counted from zero over all
+    /// calls.
+    void answer_with(std::function<call_result(int)> result_of)
     {
         ON_CALL(peers_, execute(testing::_, testing::_, testing::_))
-            .WillByDefault([this, answer_for = std::move(answer_for)](const node_reference& target,
-                                                                      const service_call& call,
-                                                                      const call_done& done) {
+            .WillByDefault([this, result_of = std::move(result_of)](const node_reference& target,
+                                                                    const service_call& call,
+                                                                    const call_done& done) {
                 attempts_.push_back({target.instance, call.retry_budget, call.request_id});
-                done(answer_for(static_cast<int>(attempts_.size()) - 1));
+                done(result_of(static_cast<int>(attempts_.size()) - 1));
             });
     }
 
--- a/unittests/node/dispatcher_test.cpp
+++ b/unittests/node/dispatcher_test.cpp
@@ -9,7 +9,7 @@
 
 using testing::_;
 
-// Guards against a retry of a call that may have run and must not run twice.
+// Guards against retrying a call that may have run and must not run twice.
 TEST_F(dispatcher_test, never_retries_unknown_outcome_of_non_idempotent_class)
 {
     EXPECT_CALL(peers_, execute(_, _, _))
@@ -20,7 +20,7 @@
     EXPECT_EQ(run("payment").outcome, call_outcome::unknown);
 }
 
-// Guards against a retry on the member that has just refused the call.
+// Guards against retrying on the member that has just refused the call.
 TEST_F(dispatcher_test, retries_refused_call_on_another_member)
 {
     std::set<std::uint64_t> called;
@@ -35,8 +35,8 @@
     EXPECT_EQ(counters_.value(reason_event::retried, reason_code::queue_full), 1U);
 }
 
-// Guards against an overload in which each call is carried to many full members, which takes the
-// time and the bytes that served calls need, and against urgent calls that give up as soon.
+// Guards against sending each call to many full members during an overload, which takes time and
+// bandwidth from the calls that are served, and against giving up urgent calls as early as others.
 TEST_F(dispatcher_test, stops_after_a_few_full_queues)
 {
     publish_members(8);
@@ -48,25 +48,26 @@
     EXPECT_EQ(attempts_.size(), 4U);
 }
 
-// Guards against calls that keep going to a node that cannot be reached.
+// Guards against sending further calls to a node that cannot be reached.
 TEST_F(dispatcher_test, avoids_unreachable_member)
 {
-    std::optional<std::uint64_t> dead;
-    int calls_to_dead = 0;
+    std::optional<std::uint64_t> unreachable;
+    int calls_to_unreachable = 0;
     ON_CALL(peers_, execute(_, _, _))
-        .WillByDefault([&](const node_reference& target, const service_call&,
-                           const call_done& done) {
-            dead = dead.value_or(target.instance);
-            calls_to_dead += target.instance == *dead ? 1 : 0;
-            done(target.instance == *dead ? not_run(reason_code::peer_unreachable) : answer(200));
-        });
+        .WillByDefault(
+            [&](const node_reference& target, const service_call&, const call_done& done) {
+                unreachable = unreachable.value_or(target.instance);
+                calls_to_unreachable += target.instance == *unreachable ? 1 : 0;
+                done(target.instance == *unreachable ? not_run(reason_code::peer_unreachable)
+                                                     : answer(200));
+            });
     for (int i = 0; i < 50; ++i) {
         EXPECT_EQ(run().outcome, call_outcome::completed);
     }
-    EXPECT_EQ(calls_to_dead, 1);
+    EXPECT_EQ(calls_to_unreachable, 1);
 }
 
-// Guards against a call that may have run and is reported as not run because a retry was refused.
+// Guards against reporting a call that may have run as not run because its retry was refused.
 TEST_F(dispatcher_test, refusal_after_unknown_attempt_stays_unknown)
 {
     answer_with([](int attempt) {
@@ -79,8 +80,8 @@
     EXPECT_EQ(result.reason, reason_code::upstream_timeout);
 }
 
-// Guards against retries that multiply down a call tree: the parts that the attempts carry, with
-// one for each attempt, never exceed what the call arrived with.
+// Guards against retries that multiply down a call tree: the retry budgets of all attempts, plus
+// one for each attempt, must not exceed the budget of the call plus one.
 TEST_F(dispatcher_test, splits_the_tree_budget)
 {
     answer_with([](int) { return not_run(reason_code::upstream_refused); });
@@ -91,7 +92,7 @@
     EXPECT_NE(attempts_[0].request_id, attempts_[1].request_id);
 }
 
-// Guards against a retry storm when every member sheds load.
+// Guards against a retry storm when all members refuse calls.
 TEST_F(dispatcher_test, retries_stay_within_the_ratio_when_all_refuse)
 {
     answer_with([](int) { return not_run(reason_code::upstream_refused); });
@@ -102,7 +103,7 @@
     EXPECT_GT(counters_.value(reason_event::refused, reason_code::retry_budget_exhausted), 900U);
 }
 
-// Guards against a retry that cannot be answered in time.
+// Guards against a retry whose response can no longer arrive in time.
 TEST_F(dispatcher_test, no_retry_after_the_deadline)
 {
     answer_with([this](int) {
@@ -113,7 +114,8 @@
     EXPECT_EQ(attempts_.size(), 1U);
 }
 
-// Guards against an upstream that fails at once and attracts traffic because it always looks idle.
+// Guards against sending more traffic to an upstream that fails immediately and so always looks
+// idle.
 TEST_F(dispatcher_test, fast_failing_member_does_not_attract_traffic)
 {
     std::array<int, 4> calls{};
@@ -130,8 +132,8 @@
     EXPECT_LT(calls[1], 10);
 }
 
-// Guards against hedges of calls that must not run twice, a second response to the caller, and
-// attempts that run on after they have lost against a hedge.
+// Guards against hedging calls that must not run twice, against a second response to the caller,
+// and against attempts that are not cancelled after a hedge has completed the call.
 TEST_F(dispatcher_test, hedges_only_slow_idempotent_calls)
 {
     std::vector<call_done> pending;
@@ -174,8 +176,8 @@
     EXPECT_EQ(answered, 200U);
 }
 
-// Guards against probes that grow with the number of calls.
-TEST_F(dispatcher_test, probes_are_limited_whatever_the_load)
+// Guards against a probe rate that grows with the call rate.
+TEST_F(dispatcher_test, probe_rate_is_limited_under_load)
 {
     answer_with([](int) { return answer(200); });
     int probes = 0;
@@ -192,32 +194,32 @@
     EXPECT_GE(probes, 30);
 }
 
-// Guards against calls that pile up at a member that has stopped to answer, and against one that
-// stays without calls after it answers again.
-TEST_F(dispatcher_test, leaves_a_silent_member_until_it_answers_a_probe)
+// Guards against calls that pile up at a member that has stopped responding, and against a member
+// that gets no calls after it responds again.
+TEST_F(dispatcher_test, avoids_unresponsive_member_until_a_probe_succeeds)
 {
     publish_members(2);
-    constexpr std::uint64_t silent = 1;
-    bool frozen = true;
+    constexpr std::uint64_t unresponsive = 1;
+    bool is_unresponsive = true;
     std::vector<call_done> unanswered;
-    std::size_t sent_to_silent = 0;
+    std::size_t calls_to_unresponsive = 0;
     ON_CALL(peers_, execute(_, _, _))
         .WillByDefault(
             [&](const node_reference& target, const service_call&, const call_done& done) {
-                sent_to_silent += target.instance == silent ? 1 : 0;
-                if (frozen && target.instance == silent) {
+                calls_to_unresponsive += target.instance == unresponsive ? 1 : 0;
+                if (is_unresponsive && target.instance == unresponsive) {
                     unanswered.push_back(done);
                     return;
                 }
-                auto given = answer(200);
-                given.load.emplace();
-                given.load->limit = 10;
-                given.load->upstream_registered = true;
-                done(std::move(given));
+                auto result = answer(200);
+                result.load.emplace();
+                result.load->limit = 10;
+                result.load->upstream_registered = true;
+                done(std::move(result));
             });
     ON_CALL(peers_, probe(_, _, _))
         .WillByDefault([&](const node_reference& target, milliseconds, const auto& done) {
-            if (frozen && target.instance == silent) {
+            if (is_unresponsive && target.instance == unresponsive) {
                 done(absl::DeadlineExceededError("silent"));
                 return;
             }
@@ -226,8 +228,8 @@
             report.upstream_registered = true;
             done(std::move(report));
         });
-    const auto run_for = [&](milliseconds time) {
-        for (const auto end = now_ + time; now_ < end; now_ += milliseconds{10}) {
+    const auto run_for = [&](milliseconds duration) {
+        for (const auto end = now_ + duration; now_ < end; now_ += milliseconds{10}) {
             service_call call;
             call.service = "ledger";
             call.priority = "lookup";
@@ -236,19 +238,19 @@
         }
     };
     run_for(milliseconds{1'000});
-    const std::size_t before = sent_to_silent;
+    const std::size_t before = calls_to_unresponsive;
     run_for(milliseconds{3'000});
-    EXPECT_EQ(sent_to_silent, before) << "avoided for as long as its probes fail";
+    EXPECT_EQ(calls_to_unresponsive, before) << "avoided for as long as its probes fail";
     for (const auto& done : unanswered) {
         done(unknown_outcome(reason_code::peer_connection_lost));
     }
-    frozen = false;
+    is_unresponsive = false;
     run_for(milliseconds{1'000});
-    EXPECT_GT(sent_to_silent, before + 10);
+    EXPECT_GT(calls_to_unresponsive, before + 10);
 }
 
-// Guards against a member that is gone from the routing table and still gets calls, and against a
-// call without any member that gets no answer.
+// Guards against sending calls to a member that has left the routing table, and against a call that
+// is never completed because its service has no members.
 TEST_F(dispatcher_test, follows_the_routing_table)
 {
     answer_with([](int) { return answer(200); });
@@ -257,12 +259,12 @@
         run();
     }
     EXPECT_TRUE(std::all_of(attempts_.begin(), attempts_.end(),
-                            [](const attempt& made) { return made.instance == 1; }));
+                            [](const attempt& sent) { return sent.instance == 1; }));
     publish_members(0);
     EXPECT_EQ(run().reason, reason_code::no_route);
 }
 
-// Guards against a key owner that tries the most loaded or an unreachable candidate first.
+// Guards against a key owner that tries an unreachable or the most loaded candidate first.
 TEST_F(dispatcher_test, ranks_candidates_by_cost_and_avoided_ones_last)
 {
     const std::vector<node_reference> nodes = dispatcher_->choose_distinct("ledger", "payment", 3);
@@ -289,7 +291,7 @@
     EXPECT_EQ(ranked, (std::vector<node_reference>{nodes[2], nodes[1], nodes[0]}));
 }
 
-// Guards against a key whose candidates are the same node twice.
+// Guards against a key that has the same node as a candidate twice.
 TEST_F(dispatcher_test, chooses_distinct_candidates)
 {
     std::set<std::uint64_t> instances;
--- a/unittests/node/routed_call_test.cpp
+++ b/unittests/node/routed_call_test.cpp
@@ -14,14 +14,14 @@
 
 document make_document()
 {
-    const auto read = parse_record(R"({"version": 1, "services": [{"name": "ledger"}], "routes": [
+    const auto parsed = parse_record(R"({"version": 1, "services": [{"name": "ledger"}], "routes": [
         {"name": "view", "host": "shop.example", "path_prefix": "/view/", "service": "ledger",
          "kind": "idempotent", "timeout_ms": 800, "attempts": 3, "rank": 1},
         {"name": "pay", "host": "shop.example", "path_prefix": "/pay/", "service": "ledger",
          "timeout_ms": 1000}]})",
-                                   "record");
-    EXPECT_TRUE(read.ok()) << read.status();
-    return *read;
+                                     "record");
+    EXPECT_TRUE(parsed.ok()) << parsed.status();
+    return *parsed;
 }
 
 class routed_call : public testing::Test {
@@ -57,8 +57,8 @@
     reason_code refused(const std::string& target, std::vector<http_header> headers = {})
     {
         const auto result = parse(target, std::move(headers));
-        const auto* why = std::get_if<refusal>(&result);
-        return why == nullptr ? reason_code::none : why->reason;
+        const auto* found = std::get_if<refusal>(&result);
+        return found == nullptr ? reason_code::none : found->reason;
     }
 
     call_result judge(const service_call& call, int status, std::vector<http_header> headers)
@@ -74,9 +74,9 @@
     time_point now_ = ms_clock::now();
 };
 
-// Guards against a call that may repeat although its route forbids it, and against a time limit of
-// the route that the caller's own deadline hides.
-TEST_F(routed_call, takes_its_terms_from_the_route)
+// Guards against repeating a call although its route forbids it, and against a longer deadline of
+// the caller that overrides the timeout of the route.
+TEST_F(routed_call, takes_repeatability_and_limits_from_the_route)
 {
     const service_call view = parsed("/view/1?q", {{"Request-Id", "r1"}, {"Deadline-Ms", "2500"}});
     EXPECT_EQ(view.service, "ledger");
@@ -93,9 +93,9 @@
     EXPECT_EQ(refused("/pay/", {{"Deadline-Ms", "soon"}}), reason_code::malformed_deadline);
 }
 
-// Guards against headers of a caller that the upstream does not get, or gets although only the
-// system sets them.
-TEST_F(routed_call, forwards_all_but_the_systems_own_headers)
+// Guards against dropping headers of the caller, and against forwarding headers of the caller that
+// only the system may set.
+TEST_F(routed_call, forwards_all_headers_except_those_the_system_sets)
 {
     const service_call call = parsed("/pay/1", {{"Request-Id", "r1"},
                                                 {"Idempotency-Key", "theirs"},
@@ -115,9 +115,9 @@
     EXPECT_EQ(sent.body, "body");
 }
 
-// Guards against a refusal of the upstream that is taken for a run, and against an answer to
-// another request that is delivered.
-TEST_F(routed_call, tells_refusals_and_foreign_answers_from_runs)
+// Guards against treating a refusal of the upstream as a completed call, and against delivering the
+// response to another request.
+TEST_F(routed_call, detects_refusals_and_responses_to_other_requests)
 {
     const service_call call = parsed("/pay/1", {{"Request-Id", "r1"}});
     EXPECT_EQ(judge(call, 503, {{"Not-Executed", "1"}}).reason, reason_code::upstream_refused);
@@ -127,14 +127,14 @@
     EXPECT_EQ(judge(call, 500, {}).outcome, call_outcome::completed);
     service_call other = call;
     other.request_id = "r2";
-    http_result crossed;
-    crossed.response = {200, {{"Request-Id", "r1"}}, "answer"};
-    EXPECT_EQ(judge_upstream_response(other, crossed, names_).outcome, call_outcome::unknown);
+    http_result mismatched;
+    mismatched.response = {200, {{"Request-Id", "r1"}}, "answer"};
+    EXPECT_EQ(judge_upstream_response(other, mismatched, names_).outcome, call_outcome::unknown);
 }
 
-// Guards against answers without a length that are dropped, and against cut ones that pass for
-// whole.
-TEST_F(routed_call, delivers_an_answer_that_ends_with_its_connection)
+// Guards against dropping a response without a length, which ends with its connection, and against
+// delivering a truncated response.
+TEST_F(routed_call, delivers_response_that_ends_with_its_connection)
 {
     const service_call call = parsed("/pay/1", {{"Request-Id", "r1"}});
     http_result ended;
@@ -145,8 +145,9 @@
     EXPECT_EQ(judge_upstream_response(call, ended, names_).outcome, call_outcome::unknown);
 }
 
-// Guards against a promise that nothing has run while it may have.
-TEST_F(routed_call, promises_only_what_is_known)
+// Guards against status 503, which guarantees that the request has not run, for a request that may
+// have run.
+TEST_F(routed_call, returns_503_only_if_the_call_has_not_run)
 {
     EXPECT_EQ(
         make_routed_response(not_run(reason_code::deadline_exceeded), milliseconds{250}).status,
--- a/unittests/node/routed_dispatch_test.cpp
+++ b/unittests/node/routed_dispatch_test.cpp
@@ -22,12 +22,13 @@
         call.repeat = repeat;
         call.request_id = "attempt-1";
         std::optional<call_result> result;
-        dispatcher_->dispatch(call, [&result](call_result given) { result = std::move(given); });
+        dispatcher_->dispatch(call,
+                              [&result](call_result reported) { result = std::move(reported); });
         EXPECT_TRUE(result.has_value());
         return result.value_or(unknown_outcome(reason_code::internal));
     }
 
-    /// Refuses movable calls as a slow upstream does; the others get the answer.
+    /// Makes all members refuse movable calls as a slow upstream does, and complete all others.
     void refuse_movable_calls()
     {
         ON_CALL(peers_, execute(_, _, _))
@@ -43,7 +44,7 @@
     }
 };
 
-// Guards against a call that is refused everywhere because all upstreams are slow for a moment.
+// Guards against refusing a call because all upstreams are temporarily slow.
 TEST_F(routed_dispatch, waits_for_a_slow_upstream_when_all_are_slow)
 {
     refuse_movable_calls();
@@ -51,7 +52,7 @@
     EXPECT_EQ(attempts_.size(), 4U);
 }
 
-// Guards against calls that are refused for want of retry budget although no upstream had them.
+// Guards against refusing a call for lack of retry budget although no upstream has received it.
 TEST_F(routed_dispatch, moving_a_refused_call_needs_no_retry_budget)
 {
     for (int i = 0; i < 100; ++i) {
@@ -64,7 +65,8 @@
     }
 }
 
-// Guards against a request id that changes on its way, so that the upstream cannot tell a repeat.
+// Guards against changing the request id between attempts, so that the upstream cannot detect a
+// repeated request.
 TEST_F(routed_dispatch, keeps_the_request_id_of_the_caller)
 {
     answer_with([](int attempt) {
@@ -76,7 +78,7 @@
     EXPECT_EQ(attempts_[1].request_id, "attempt-1");
 }
 
-// Guards against a caller that waits longer than its time limit for an upstream that is silent.
+// Guards against a caller that waits beyond its time limit for an upstream that does not respond.
 TEST_F(routed_dispatch, answers_at_the_time_limit)
 {
     ON_CALL(peers_, execute(_, _, _)).WillByDefault([](const auto&, const auto&, const auto&) {});
@@ -86,30 +88,29 @@
     call.deadline = now_ + milliseconds{1000};
     call.repeat = repeatability::at_most_once;
     std::optional<call_result> result;
-    call_done kept;
+    call_done pending;
     ON_CALL(peers_, execute(_, _, _))
-        .WillByDefault([&kept](const node_reference&, const service_call&, const call_done& done) {
-            kept = done;
-        });
-    dispatcher_->dispatch(call, [&result](call_result given) { result = std::move(given); });
+        .WillByDefault([&pending](const node_reference&, const service_call&,
+                                  const call_done& done) { pending = done; });
+    dispatcher_->dispatch(call, [&result](call_result reported) { result = std::move(reported); });
     ASSERT_FALSE(timers_.empty());
     timers_.front()();
     ASSERT_TRUE(result);
     EXPECT_EQ(result->outcome, call_outcome::unknown);
     EXPECT_EQ(result->reason, reason_code::time_limit);
-    kept(answer(200));
+    pending(answer(200));
 }
 
 class settled_dispatch : public routed_dispatch {
 protected:
-    /// Loses the answer of the first attempt; the executor then says the given about it.
-    call_result run_with_lost_response(const absl::StatusOr<settle_result>& known)
+    /// Loses the response of the first attempt; the executor then reports `settled` as its state.
+    call_result run_with_lost_response(const absl::StatusOr<settle_result>& settled)
     {
         ON_CALL(peers_, settle(_, _, _, _))
-            .WillByDefault([known](const node_reference&, const std::string& key, milliseconds,
-                                   const peer_client::settle_done& done) {
+            .WillByDefault([settled](const node_reference&, const std::string& key, milliseconds,
+                                     const peer_client::settle_done& done) {
                 EXPECT_EQ(attempt_of_key(key), "attempt-1");
-                done(known);
+                done(settled);
             });
         answer_with([](int attempt) {
             return attempt == 0 ? unknown_outcome(reason_code::peer_connection_lost) : answer(200);
@@ -118,8 +119,8 @@
     }
 };
 
-// Guards against a call that is given up although it has provably not run.
-TEST_F(settled_dispatch, places_a_fenced_call_elsewhere)
+// Guards against failing a call that is known not to have run.
+TEST_F(settled_dispatch, retries_a_fenced_call_on_another_member)
 {
     const auto result = run_with_lost_response(
         settle_result{settle_state::fenced, {}, reason_code::key_fenced, {}});
@@ -127,8 +128,8 @@
     EXPECT_EQ(attempts_.size(), 2U);
 }
 
-// Guards against an answer that is lost although the executor still has it.
-TEST_F(settled_dispatch, delivers_the_answer_that_the_executor_kept)
+// Guards against losing a response that the executor still has.
+TEST_F(settled_dispatch, delivers_the_response_that_the_executor_kept)
 {
     const auto result = run_with_lost_response(
         settle_result{settle_state::completed, {201, {}, "kept"}, reason_code::none, {}});
@@ -137,7 +138,7 @@
     EXPECT_EQ(attempts_.size(), 1U);
 }
 
-// Guards against a second run of a call that may have run, and against a refusal that denies it.
+// Guards against running a call twice that may have run, and against reporting it as not run.
 TEST_F(settled_dispatch, call_that_cannot_be_settled_stays_unknown)
 {
     for (const auto state :
