--- a/benchmarks/policy_benchmark.cpp
+++ b/benchmarks/policy_benchmark.cpp
@@ -34,8 +34,8 @@
 struct distance_as_latency_policy {
     static constexpr report_source reports = report_source::replies;
 
-    std::size_t choose(std::span<const candidate> candidates, const selection& circumstances,
-                       random_generator& random) const
+    std::size_t choose(std::span<const candidate> candidates,
+                       const selection_context& circumstances, random_generator& random) const
     {
         const std::size_t first = random() % candidates.size();
         const std::size_t other = random() % candidates.size();
--- a/include/chestnutstand/routing/balancing_policy.h
+++ b/include/chestnutstand/routing/balancing_policy.h
@@ -24,7 +24,7 @@
 };
 
 /// Circumstances of one choice.
-struct selection {
+struct selection_context {
     /// Rank of the call's priority class, 0 for the most urgent.
     std::size_t rank = 0;
     time_point now;
@@ -36,8 +36,8 @@
 /// Chooses one of several candidates; the candidates are never empty. Not safe for concurrent use.
 template <typename Policy>
 concept balancing_policy = std::default_initializable<Policy> &&
-    requires(Policy policy, std::span<const candidate> candidates, const selection& circumstances,
-             random_generator& random)
+    requires(Policy policy, std::span<const candidate> candidates,
+             const selection_context& circumstances, random_generator& random)
 {
     {
         policy.choose(candidates, circumstances, random)
@@ -56,7 +56,8 @@
     virtual ~any_policy() = default;
 
     virtual std::size_t choose(std::span<const candidate> candidates,
-                               const selection& circumstances, random_generator& random) = 0;
+                               const selection_context& circumstances,
+                               random_generator& random) = 0;
     virtual report_source reports() const = 0;
 };
 
@@ -64,8 +65,8 @@
 template <balancing_policy Policy>
 class policy_plugin final : public any_policy {
 public:
-    std::size_t choose(std::span<const candidate> candidates, const selection& circumstances,
-                       random_generator& random) override
+    std::size_t choose(std::span<const candidate> candidates,
+                       const selection_context& circumstances, random_generator& random) override
     {
         return policy_.choose(candidates, circumstances, random);
     }
@@ -87,6 +88,6 @@
 bool has_known_room(const load_view& view);
 
 /// Expected cost of sending a call to a candidate, in milliseconds.
-double expected_cost(const candidate& peer, const selection& circumstances);
+double expected_cost(const candidate& peer, const selection_context& circumstances);
 
 } // namespace chestnutstand
--- a/lib/routing/balancing_policy.cpp
+++ b/lib/routing/balancing_policy.cpp
@@ -38,8 +38,8 @@
 struct random_policy {
     static constexpr report_source reports = report_source::none;
 
-    std::size_t choose(std::span<const candidate> candidates, const selection& /*circumstances*/,
-                       random_generator& random) const
+    std::size_t choose(std::span<const candidate> candidates,
+                       const selection_context& /*circumstances*/, random_generator& random) const
     {
         return random_index(candidates.size(), random);
     }
@@ -49,8 +49,8 @@
 struct round_robin_policy {
     static constexpr report_source reports = report_source::none;
 
-    std::size_t choose(std::span<const candidate> candidates, const selection& /*circumstances*/,
-                       random_generator& /*random*/)
+    std::size_t choose(std::span<const candidate> candidates,
+                       const selection_context& /*circumstances*/, random_generator& /*random*/)
     {
         return next_++ % candidates.size();
     }
@@ -63,8 +63,8 @@
 struct least_outstanding_policy {
     static constexpr report_source reports = report_source::none;
 
-    std::size_t choose(std::span<const candidate> candidates, const selection& circumstances,
-                       random_generator& random) const
+    std::size_t choose(std::span<const candidate> candidates,
+                       const selection_context& circumstances, random_generator& random) const
     {
         std::size_t best = 0;
         std::uint32_t lowest = std::numeric_limits<std::uint32_t>::max();
@@ -134,7 +134,7 @@
 
 /// Candidates of the nearest data centre that has any with room; all when none has room.
 std::vector<candidate> nearest_with_room(std::span<const candidate> candidates,
-                                         const selection& circumstances,
+                                         const selection_context& circumstances,
                                          std::vector<std::size_t>& indexes)
 {
     std::vector<bool> roomy(candidates.size());
@@ -163,8 +163,8 @@
 struct two_choices_policy {
     static constexpr report_source reports = report_source::replies;
 
-    std::size_t choose(std::span<const candidate> candidates, const selection& circumstances,
-                       random_generator& random) const
+    std::size_t choose(std::span<const candidate> candidates,
+                       const selection_context& circumstances, random_generator& random) const
     {
         std::vector<std::size_t> indexes;
         const std::vector<candidate> near = nearest_with_room(candidates, circumstances, indexes);
@@ -179,8 +179,8 @@
 struct two_choices_stale_policy {
     static constexpr report_source reports = report_source::probes;
 
-    std::size_t choose(std::span<const candidate> candidates, const selection& circumstances,
-                       random_generator& random) const
+    std::size_t choose(std::span<const candidate> candidates,
+                       const selection_context& circumstances, random_generator& random) const
     {
         return cheaper_of_two(candidates, random, [&](const candidate& peer) {
             const load_view view = peer.load->read(circumstances.rank, circumstances.now);
@@ -203,7 +203,7 @@
     return view.report_age && *view.report_age <= room_memory && has_room(view);
 }
 
-double expected_cost(const candidate& peer, const selection& circumstances)
+double expected_cost(const candidate& peer, const selection_context& circumstances)
 {
     const load_view view = peer.load->read(circumstances.rank, circumstances.now);
     const double pace = is_slow(view) ? view.pace : 1.0;
--- a/lib/routing/upstream_selector.cpp
+++ b/lib/routing/upstream_selector.cpp
@@ -166,7 +166,7 @@
                                                      std::size_t queue_refusals)
 {
     const time_point now = options_.now();
-    const selection circumstances{state.order.rank(priority), now};
+    const selection_context circumstances{state.order.rank(priority), now};
     peer_list eligible = state.peers.eligible(left_out, now, random_);
     if (queue_refusals >= refusals_before_room(circumstances.rank)) {
         std::erase_if(eligible, [&](const auto& entry) {
