--- a/benchmarks/replay_benchmark.cpp
+++ b/benchmarks/replay_benchmark.cpp
@@ -17,7 +17,7 @@
 
 struct variant {
     std::string name;
-    policies chosen;
+    policy_options chosen;
 };
 
 std::vector<variant> variants()
@@ -27,14 +27,15 @@
         all.push_back({std::move(name), {}});
         change(all.back().chosen);
     };
-    add("order of arrival", [](policies& without) { without.by_urgency = false; });
-    add("pace ignored", [](policies& without) { without.follow_pace = false; });
-    add("fixed limit", [](policies& without) { without.adaptive_limit = false; });
+    add("order of arrival", [](policy_options& without) { without.by_urgency = false; });
+    add("pace ignored", [](policy_options& without) { without.follow_pace = false; });
+    add("fixed limit", [](policy_options& without) { without.adaptive_limit = false; });
     add("all rejections lower the limit",
-        [](policies& without) { without.ignore_rejections_with_free_slots = false; });
-    add("return after 1 s", [](policies& without) { without.retry_within_target = false; });
-    add("abandoned requests run", [](policies& without) { without.cancel_abandoned = false; });
-    add("random placement", [](policies& without) { without.balancing = "random"; });
+        [](policy_options& without) { without.ignore_rejections_with_free_slots = false; });
+    add("return after 1 s", [](policy_options& without) { without.retry_within_target = false; });
+    add("abandoned requests run",
+        [](policy_options& without) { without.cancel_abandoned = false; });
+    add("random placement", [](policy_options& without) { without.balancing = "random"; });
     return all;
 }
 
--- a/unittests/replay/replay_member.cpp
+++ b/unittests/replay/replay_member.cpp
@@ -32,7 +32,7 @@
 } // namespace
 
 replay_member::replay_member(event_loop& loop, std::uint64_t instance, std::size_t data_centre,
-                             const service_config& service, const policies& chosen,
+                             const service_config& service, const policy_options& chosen,
                              std::uint64_t seed)
     : model_member{instance, data_centre}, loop_{loop}, policies_{chosen},
       queue_{chosen.by_urgency ? service : without_order(service), slots}, random_{seed}
--- a/unittests/replay/replay_member.h
+++ b/unittests/replay/replay_member.h
@@ -14,7 +14,7 @@
 namespace chestnutstand::replay {
 
 /// Which decisions are those of the product; the others are the simpler ones they replaced.
-struct policies {
+struct policy_options {
     /// Order by urgency with guaranteed shares; otherwise by arrival.
     bool by_urgency = true;
     /// Requests wait, or go elsewhere, while the upstream is slow.
@@ -35,7 +35,7 @@
 class replay_member final : public model_member {
 public:
     replay_member(event_loop& loop, std::uint64_t instance, std::size_t data_centre,
-                  const service_config& service, const policies& chosen, std::uint64_t seed);
+                  const service_config& service, const policy_options& chosen, std::uint64_t seed);
 
     void execute(const service_call& call, call_done done) override;
     load_report report() const override;
@@ -86,7 +86,7 @@
     double roll();
 
     event_loop& loop_;
-    policies policies_;
+    policy_options policies_;
     admission_queue queue_;
     upstream_pace pace_;
     std::mt19937_64 random_;
--- a/unittests/replay/replay_model.h
+++ b/unittests/replay/replay_model.h
@@ -60,7 +60,7 @@
 /// time; the same for a seed.
 class model {
 public:
-    model(replay_settings described, const policies& chosen, std::uint64_t seed);
+    model(replay_settings described, const policy_options& chosen, std::uint64_t seed);
 
     /// Plays 4 s of warm-up and 10 s that count; patterns act from the start of the latter.
     std::vector<kind_result> play(const pattern& load);
@@ -100,7 +100,7 @@
 
     event_loop loop_;
     replay_settings world_;
-    policies policies_;
+    policy_options policies_;
     std::mt19937_64 random_;
     std::vector<std::mt19937_64> arrivals_;
     std::vector<double> bursts_;
@@ -125,7 +125,7 @@
 const pattern& find_pattern(const std::string& name);
 
 /// Sums over the kinds and over the seeds 1 to count.
-kind_result total(const replay_settings& described, const policies& chosen, const pattern& load,
-                  std::uint64_t seeds);
+kind_result total(const replay_settings& described, const policy_options& chosen,
+                  const pattern& load, std::uint64_t seeds);
 
 } // namespace chestnutstand::replay
--- a/unittests/replay/replay_test.cpp
+++ b/unittests/replay/replay_test.cpp
@@ -15,7 +15,7 @@
 struct gain {
     const char* decision;
     const char* pattern;
-    void (*replace)(policies&);
+    void (*replace)(policy_options&);
     void (*prepare)(replay_settings&);
 };
 
@@ -24,7 +24,7 @@
     return out << shown.decision << " under " << shown.pattern;
 }
 
-double in_target(const gain& compared, const policies& chosen, const std::string& pattern)
+double in_target(const gain& compared, const policy_options& chosen, const std::string& pattern)
 {
     replay_settings described = refund_desk();
     compared.prepare(described);
@@ -34,9 +34,9 @@
 
 class replay_gain : public ::testing::TestWithParam<gain> {
 protected:
-    policies before() const
+    policy_options before() const
     {
-        policies chosen;
+        policy_options chosen;
         GetParam().replace(chosen);
         return chosen;
     }
@@ -59,25 +59,25 @@
 }
 
 constexpr auto ordinary_world = [](replay_settings&) {};
-constexpr auto by_arrival = [](policies& chosen) { chosen.by_urgency = false; };
-constexpr auto random_placement = [](policies& chosen) { chosen.balancing = "random"; };
+constexpr auto by_arrival = [](policy_options& chosen) { chosen.by_urgency = false; };
+constexpr auto random_placement = [](policy_options& chosen) { chosen.balancing = "random"; };
 
 INSTANTIATE_TEST_SUITE_P(
     decisions, replay_gain,
     ::testing::Values(
         gain{"order by urgency", "burst of one kind", by_arrival, ordinary_world},
         gain{"order by urgency", "burst of the most urgent kind", by_arrival, ordinary_world},
-        gain{"pace of the upstream", "noise", [](policies& chosen) { chosen.follow_pace = false; },
-             ordinary_world},
+        gain{"pace of the upstream", "noise",
+             [](policy_options& chosen) { chosen.follow_pace = false; }, ordinary_world},
         gain{"adaptive limit", "slow upstream",
-             [](policies& chosen) { chosen.adaptive_limit = false; }, ordinary_world},
+             [](policy_options& chosen) { chosen.adaptive_limit = false; }, ordinary_world},
         gain{"free slots spared", "rejections with free slots",
-             [](policies& chosen) { chosen.ignore_rejections_with_free_slots = false; },
+             [](policy_options& chosen) { chosen.ignore_rejections_with_free_slots = false; },
              ordinary_world},
         gain{"return within the target", "burst of one kind",
-             [](policies& chosen) { chosen.retry_within_target = false; }, ordinary_world},
+             [](policy_options& chosen) { chosen.retry_within_target = false; }, ordinary_world},
         gain{"abandoned requests removed", "burst of one kind",
-             [](policies& chosen) { chosen.cancel_abandoned = false; },
+             [](policy_options& chosen) { chosen.cancel_abandoned = false; },
              [](replay_settings& described) { described.leaving_share = 0.3; }},
         gain{"placement by load", "slow upstream", random_placement, ordinary_world},
         gain{"placement by load", "cold starts", random_placement, ordinary_world},
