--- a/include/chestnutstand/routing/balancing_policy.h
+++ b/include/chestnutstand/routing/balancing_policy.h
@@ -13,41 +13,42 @@
 
 namespace chestnutstand {
 
-/// Generator behind every random choice; seeded by its owner.
+/// Random number generator for all random decisions; the owner of an instance seeds it.
 using random_generator = std::mt19937_64;
 
-/// A member of a service that may get the call.
+/// A member of a service that is eligible for the call.
 struct candidate {
     const peer_load* load = nullptr;
     /// Round-trip time to the data centre of the member.
     milliseconds distance{0};
 };
 
-/// Circumstances of one choice.
+/// Properties of the call to place and the time of the choice.
 struct selection_context {
     /// Rank of the call's priority class, 0 for the most urgent.
     std::size_t rank = 0;
     time_point now;
 };
 
-/// Where a policy gets its load reports from.
+/// Which messages deliver the load reports that a policy uses.
 enum class report_source : std::uint8_t { none, replies, probes };
 
-/// Chooses one of several candidates; the candidates are never empty. Not safe for concurrent use.
+/// Returns the index of one candidate; the list of candidates must not be empty. Not safe for
+/// concurrent use.
 template <typename Policy>
 concept balancing_policy = std::default_initializable<Policy> &&
-    requires(Policy policy, std::span<const candidate> candidates,
-             const selection_context& circumstances, random_generator& random)
+    requires(Policy policy, std::span<const candidate> candidates, const selection_context& context,
+             random_generator& random)
 {
     {
-        policy.choose(candidates, circumstances, random)
+        policy.choose(candidates, context, random)
         } -> std::same_as<std::size_t>;
     {
         Policy::reports
         } -> std::convertible_to<report_source>;
 };
 
-/// Any balancing policy, chosen by name at run time.
+/// Interface of the balancing policies that are selected by name at run time.
 class any_policy {
 public:
     any_policy() = default;
@@ -56,19 +57,18 @@
     virtual ~any_policy() = default;
 
     virtual std::size_t choose(std::span<const candidate> candidates,
-                               const selection_context& circumstances,
-                               random_generator& random) = 0;
+                               const selection_context& context, random_generator& random) = 0;
     virtual report_source reports() const = 0;
 };
 
-/// Makes a policy available at run time.
+/// Adapts a policy type to the interface any_policy.
 template <balancing_policy Policy>
 class policy_plugin final : public any_policy {
 public:
-    std::size_t choose(std::span<const candidate> candidates,
-                       const selection_context& circumstances, random_generator& random) override
+    std::size_t choose(std::span<const candidate> candidates, const selection_context& context,
+                       random_generator& random) override
     {
-        return policy_.choose(candidates, circumstances, random);
+        return policy_.choose(candidates, context, random);
     }
 
     report_source reports() const override { return Policy::reports; }
@@ -84,10 +84,10 @@
 
 inline constexpr std::string_view default_policy = "two_choices";
 
-/// Whether a recent report says that the peer would start a call at once.
-bool has_known_room(const load_view& view);
+/// Whether a recent report shows that the peer would start a call without queueing it.
+bool has_known_spare_capacity(const load_view& view);
 
 /// Expected cost of sending a call to a candidate, in milliseconds.
-double expected_cost(const candidate& peer, const selection_context& circumstances);
+double expected_cost(const candidate& peer, const selection_context& context);
 
 } // namespace chestnutstand
--- a/include/chestnutstand/routing/priority_order.h
+++ b/include/chestnutstand/routing/priority_order.h
@@ -11,12 +11,11 @@
 
 namespace chestnutstand {
 
-/// Number of priority ranks that are told apart in the load of a peer; less urgent classes share
-/// the last rank.
+/// Number of priority ranks in the load of a peer; all less urgent classes share the last rank.
 inline constexpr std::size_t priority_rank_count = 8;
 
-/// Priority classes of a service from the most urgent to the least: by rank, latency target, then
-/// by position in the document.
+/// Priority classes of a service from the most to the least urgent: ordered by configured rank,
+/// then by latency target, then by position in the document.
 class priority_order {
 public:
     priority_order() = default;
@@ -38,7 +37,7 @@
         }
     }
 
-    /// Rank of a class, 0 for the most urgent; an unknown class gets the last rank.
+    /// Rank of a class, 0 for the most urgent; an unknown class ranks after all others.
     std::size_t rank(std::string_view priority) const
     {
         const auto found = std::find(names_.begin(), names_.end(), priority);
--- a/include/chestnutstand/routing/service_peers.h
+++ b/include/chestnutstand/routing/service_peers.h
@@ -14,26 +14,26 @@
 
 namespace chestnutstand {
 
-/// A member of a service together with what this node knows of its load.
+/// A member of a service together with its load as known to this node.
 struct peer {
     node_reference node;
     std::string data_centre;
     time_point appeared_at;
     peer_load load;
-    /// Set while a probe is under way.
+    /// Set while a probe is in progress.
     std::atomic<bool> probing{false};
-    /// When to probe again after a probe that failed; nothing after one that was answered. Only
-    /// used by the selector that owns the entry.
-    std::optional<time_point> probe_again_at;
+    /// Time of the next probe after a failed one; reset by a successful one. Only used by the
+    /// selector that owns the entry.
+    std::optional<time_point> next_probe_at;
 };
 
 using peer_list = std::vector<std::shared_ptr<peer>>;
 
-/// Members of one service, in step with the routing table. Not safe for concurrent use, except for
+/// Members of one service according to the routing table. Not safe for concurrent use, except for
 /// the load of the peers.
 class service_peers {
 public:
-    /// Takes over the members of the service; what is known of those that stay is kept.
+    /// Replaces the members of the service; entries of members that remain are kept.
     void update(const std::vector<member>& members, time_point now);
 
     const peer_list& all() const { return peers_; }
@@ -42,13 +42,14 @@
 
     std::shared_ptr<peer> find(std::uint64_t instance) const;
 
-    /// Whether the member should get no call now if there is any other.
-    bool avoided(const peer& entry, time_point now) const;
+    /// Whether the member should only get a call if no other can.
+    bool is_avoided(const peer& entry, time_point now) const;
 
-    /// Members that may get a call now, without the instances to leave out. A member with a share
-    /// below the others' appears only as often as its share says. When all are avoided, they are
-    /// returned nevertheless: a call that may fail is better than one that does.
-    peer_list eligible(const std::vector<std::uint64_t>& left_out, time_point now,
+    /// Members that may get a call now, except the excluded instances. A member whose share of
+    /// traffic is reduced is included at random with a probability of that share. When all members
+    /// are avoided, they are all returned: a call that may fail is better than one that is certain
+    /// to fail.
+    peer_list eligible(const std::vector<std::uint64_t>& excluded, time_point now,
                        random_generator& random) const;
 
 private:
--- a/include/chestnutstand/routing/slow_start.h
+++ b/include/chestnutstand/routing/slow_start.h
@@ -6,8 +6,8 @@
 
 namespace chestnutstand {
 
-/// Share of traffic of an upstream that has just appeared or been readmitted: grows linearly from
-/// the initial share to 1.
+/// Share of traffic of an upstream that is new or has just been readmitted. Grows linearly from the
+/// initial share to 1.
 struct slow_start {
     milliseconds ramp{0};
     double initial_share = 0.1;
@@ -22,10 +22,10 @@
     }
 };
 
-/// For new members: caches and connection pools of a cold upstream fill within seconds.
-inline constexpr slow_start new_member_start{milliseconds{10'000}, 0.1};
+/// For new members: the caches and connection pools of a new upstream fill within seconds.
+inline constexpr slow_start new_member_slow_start{milliseconds{10'000}, 0.1};
 
-/// For members readmitted after an ejection; the first calls show whether they still fail.
-inline constexpr slow_start readmission_start{milliseconds{5'000}, 0.05};
+/// For members that are readmitted after an ejection: the first calls show whether they still fail.
+inline constexpr slow_start readmission_slow_start{milliseconds{5'000}, 0.05};
 
 } // namespace chestnutstand
--- a/include/chestnutstand/routing/upstream_selector.h
+++ b/include/chestnutstand/routing/upstream_selector.h
@@ -29,7 +29,7 @@
     /// Seed of all random choices.
     std::uint64_t seed = 1;
     std::function<time_point()> now = &ms_clock::now;
-    /// Limits that all nodes share; without them each node has its own.
+    /// Limits shared by all nodes; without them each node uses the default limits of retry_budget.
     std::optional<fleet_retry_limits> retry_limits;
 };
 
@@ -40,51 +40,54 @@
     upstream_selector(const snapshot<routing_table>& routes,
                       const snapshot<document>& configuration, selector_options options);
 
-    /// A member for a call, chosen by the policy of the service; null when there is none. A call
-    /// that several queues have refused goes only to members that are known to have room.
+    /// Returns a member for a call, chosen by the policy of the service; null when there is none. A
+    /// call that several queues have refused is only sent to members that are known to have spare
+    /// capacity.
     ///
-    /// Load pattern: a burst or a loss of members that fills all queues. Most further members
-    /// refuse as well, and each refusal costs both nodes the time and the bytes of the call, so
-    /// that fewer calls are served. The most urgent class of a service is a small part of such a
-    /// load and its refusals cost most, so that it is carried further.
+    /// Load pattern: a burst or a loss of members fills all queues. Most other members then refuse
+    /// the call as well, and each refusal costs both nodes the time and the bytes of the call, so
+    /// that fewer calls are served. Calls of the most urgent class are sent to more members before
+    /// this limit applies, because they are a small part of such a load and their refusals cost
+    /// most.
     std::shared_ptr<peer> choose(const std::string& service, std::string_view priority,
-                                 const std::vector<std::uint64_t>& left_out,
+                                 const std::vector<std::uint64_t>& excluded,
                                  std::size_t queue_refusals = 0);
 
-    /// The member with the instance of the node; a node that is no member gets a new entry that
-    /// belongs to no service.
+    /// Returns the member with the instance of the node. For a node that is not a member, returns a
+    /// new entry that belongs to no service.
     std::shared_ptr<peer> find(const std::string& service, const node_reference& node);
 
-    /// The nodes by expected cost, the cheapest first. Avoided and unknown ones come last.
+    /// Sorts the nodes by expected cost, lowest first. Avoided and unknown nodes come last.
     std::vector<node_reference> rank(const std::string& service, std::string_view priority,
                                      std::vector<node_reference> nodes);
 
-    /// Up to count different members, each chosen by the policy of the service.
+    /// Returns up to count different members, each chosen by the policy of the service.
     std::vector<node_reference> choose_distinct(const std::string& service,
                                                 std::string_view priority, std::size_t count);
 
-    /// Replaces the limits that all nodes share.
+    /// Replaces the limits shared by all nodes.
     void set_retry_limits(const std::optional<fleet_retry_limits>& limits);
 
-    /// Learns from the end of a call that was counted with peer_load::begin_call.
+    /// Records the result of a call that was counted with peer_load::begin_call.
     void record_result(peer& target, const std::string& service, const std::string& priority,
                        const call_result& result, time_point sent);
 
-    /// Takes one retry or hedge from the budget of the service.
+    /// Takes one retry or hedge from the budget of the service; returns false when it is exhausted.
     bool take_retry(const std::string& service);
     void give_back_retry(const std::string& service);
 
-    /// Time after which a call of the class is slower than 95% of the recent ones.
+    /// 95th percentile of the recent latencies of the class; empty while there are too few samples.
     std::optional<milliseconds> hedge_delay(const std::string& service, std::string_view priority);
 
-    /// A member that may be probed now: one that does not answer, or else one whose report is
-    /// stale; null when there is none. The caller must end the probe with record_probe.
+    /// Returns a member to probe now: one that does not respond, or else one whose report is stale;
+    /// null when there is none. The caller must end the probe with record_probe.
     ///
-    /// Load pattern: a node that is frozen, cut off or starved of processor time. Calls would pile
-    /// up there until their deadlines, as many from each node as its upstream has slots.
+    /// Load pattern: a node is frozen, disconnected or starved of processor time. Without probes,
+    /// each other node would have as many calls waiting there until their deadlines as the upstream
+    /// has slots.
     std::shared_ptr<peer> take_probe_target(const std::string& service);
 
-    /// Learns from a probe; the report is empty when the probe failed.
+    /// Records the result of a probe; the report is empty when the probe failed.
     void record_probe(peer& target, const std::string& service,
                       const std::optional<load_report>& report, time_point sent);
 
@@ -103,11 +106,11 @@
 
     service_state* find_service(const std::string& service);
     std::shared_ptr<peer> unresponsive_member(const service_state& state, time_point now) const;
-    std::shared_ptr<peer> stale_member(const service_state& state, time_point now);
-    void configure(service_state& state, const service_config& declared) const;
-    std::shared_ptr<peer> choose_from(service_state& state, std::string_view priority,
-                                      const std::vector<std::uint64_t>& left_out,
-                                      std::size_t queue_refusals);
+    std::shared_ptr<peer> member_with_stale_report(const service_state& state, time_point now);
+    void configure(service_state& state, const service_config& config) const;
+    std::shared_ptr<peer> choose_member(service_state& state, std::string_view priority,
+                                        const std::vector<std::uint64_t>& excluded,
+                                        std::size_t queue_refusals);
     candidate candidate_for(const peer& entry) const;
     void store_report(peer& target, const service_state& state, const load_report& report,
                       time_point now) const;
@@ -116,11 +119,11 @@
     const snapshot<document>& configuration_;
     const selector_options options_;
     std::mutex mutex_;
-    /// Limits that all nodes share; without them each node has its own.
+    /// Limits shared by all nodes; without them each node uses the default limits of retry_budget.
     std::optional<fleet_retry_limits> retry_limits_;
     random_generator random_;
     distance_table distances_;
-    token_bucket probes_;
+    token_bucket probe_rate_limit_;
     std::unordered_map<std::string, service_state> services_;
 };
 
--- a/lib/routing/outlier_detector.cpp
+++ b/lib/routing/outlier_detector.cpp
@@ -11,24 +11,25 @@
 namespace chestnutstand {
 namespace {
 
-/// Calls in the window. A window of calls and not of time ejects a member that fails within
-/// microseconds after the same few calls as a slow one.
+/// Size of the window in calls. A window of calls rather than of time ejects a member that fails
+/// within microseconds after as few calls as one that fails slowly.
 constexpr std::uint8_t window_calls = 16;
 
-/// Calls needed before a member can be ejected, and while it is being readmitted.
-constexpr std::uint8_t least_calls = 5;
-constexpr std::uint8_t least_calls_readmitting = 2;
+/// Calls that must have ended before a member can be ejected, normally and during readmission.
+constexpr std::uint8_t min_calls = 5;
+constexpr std::uint8_t min_calls_readmitting = 2;
 
-/// A member is ejected when its failure ratio is at least this and stands out from the ratio of the
-/// other members by the margin. When all fail alike, ejecting some only overloads the rest.
+/// A member is ejected when its failure ratio is at least ejection_ratio and exceeds the average of
+/// the other members by at least the margin. If all members fail equally often, ejecting some only
+/// overloads the others.
 constexpr double ejection_ratio = 0.5;
 constexpr double ejection_margin = 0.3;
 
-/// Calls older than this say nothing about the member now.
-constexpr milliseconds memory{10'000};
+/// Results of earlier calls are ignored when no call has ended for this long.
+constexpr milliseconds history_lifetime{10'000};
 
-constexpr milliseconds base_period{1'000};
-constexpr milliseconds longest_period{60'000};
+constexpr milliseconds base_ejection_period{1'000};
+constexpr milliseconds max_ejection_period{60'000};
 constexpr double jitter = 0.25;
 
 } // namespace
@@ -51,23 +52,23 @@
         return ejection_change::none;
     }
     history& member = found->second;
-    if (now - member.last_call > memory) {
+    if (now - member.last_call > history_lifetime) {
         member.calls = 0;
         member.failures = 0;
     }
     member.last_call = now;
     member.failures = static_cast<std::uint16_t>((member.failures << 1U) | (succeeded ? 0U : 1U));
     member.calls = std::min<std::uint8_t>(window_calls, member.calls + 1);
-    if (stands_out(instance, member, now)) {
+    if (is_outlier(instance, member, now)) {
         eject(member, now, random);
         return ejection_change::ejected;
     }
-    if (member.calls == window_calls && member.failures == 0 && !readmitting(member, now)) {
+    if (member.calls == window_calls && member.failures == 0 && !is_readmitting(member, now)) {
         member.ejections = 0;
         member.was_ejected = false;
     }
-    const bool first = member.was_ejected && !std::exchange(member.readmitted, true);
-    return first ? ejection_change::readmitted : ejection_change::none;
+    const bool is_first = member.was_ejected && !std::exchange(member.readmitted, true);
+    return is_first ? ejection_change::readmitted : ejection_change::none;
 }
 
 double outlier_detector::share(std::uint64_t instance, time_point now) const
@@ -76,8 +77,9 @@
     if (found == members_.end() || !found->second.was_ejected) {
         return 1.0;
     }
-    const milliseconds since = now - found->second.ejected_until;
-    return since < milliseconds{0} ? 0.0 : readmission_start.share(since);
+    const milliseconds since_readmission = now - found->second.ejected_until;
+    return since_readmission < milliseconds{0} ? 0.0
+                                               : readmission_slow_start.share(since_readmission);
 }
 
 std::size_t outlier_detector::ejected_count(time_point now) const
@@ -93,17 +95,18 @@
                              : static_cast<double>(std::popcount(member.failures)) / member.calls;
 }
 
-bool outlier_detector::readmitting(const history& member, time_point now)
+bool outlier_detector::is_readmitting(const history& member, time_point now)
 {
-    return member.was_ejected && now - member.ejected_until < readmission_start.ramp;
+    return member.was_ejected && now - member.ejected_until < readmission_slow_start.ramp;
 }
 
-bool outlier_detector::stands_out(std::uint64_t instance, const history& member,
+bool outlier_detector::is_outlier(std::uint64_t instance, const history& member,
                                   time_point now) const
 {
-    const std::uint8_t needed = readmitting(member, now) ? least_calls_readmitting : least_calls;
+    const std::uint8_t required_calls =
+        is_readmitting(member, now) ? min_calls_readmitting : min_calls;
     const double ratio = failure_ratio(member);
-    if (member.calls < needed || ratio < ejection_ratio) {
+    if (member.calls < required_calls || ratio < ejection_ratio) {
         return false;
     }
     if ((ejected_count(now) + 1) * 2 > members_.size()) {
@@ -112,7 +115,7 @@
     double sum = 0.0;
     std::size_t others = 0;
     for (const auto& [other, state] : members_) {
-        if (other != instance && state.calls > 0 && now - state.last_call <= memory) {
+        if (other != instance && state.calls > 0 && now - state.last_call <= history_lifetime) {
             sum += failure_ratio(state);
             ++others;
         }
@@ -122,14 +125,14 @@
 
 void outlier_detector::eject(history& member, time_point now, random_generator& random)
 {
-    constexpr std::uint8_t most_doublings = 6;
-    const double doublings = std::min(member.ejections, most_doublings);
+    constexpr std::uint8_t max_doublings = 6;
+    const double doublings = std::min(member.ejections, max_doublings);
     const milliseconds period =
-        std::min<milliseconds>(longest_period, base_period * std::exp2(doublings));
-    std::uniform_real_distribution<double> spread{1.0 - jitter, 1.0 + jitter};
-    member.ejected_until = now + period * spread(random);
+        std::min<milliseconds>(max_ejection_period, base_ejection_period * std::exp2(doublings));
+    std::uniform_real_distribution<double> jitter_factor{1.0 - jitter, 1.0 + jitter};
+    member.ejected_until = now + period * jitter_factor(random);
     member.readmitted = false;
-    member.ejections = std::min<std::uint8_t>(most_doublings, member.ejections + 1);
+    member.ejections = std::min<std::uint8_t>(max_doublings, member.ejections + 1);
     member.was_ejected = true;
     member.calls = 0;
     member.failures = 0;
--- a/lib/routing/peer_load.cpp
+++ b/lib/routing/peer_load.cpp
@@ -7,18 +7,19 @@
 namespace chestnutstand {
 namespace {
 
-/// Weight of the newest latency in the average. With 0.2 the spread of single service times hides
-/// the differences between members: 1 to 2 ms at p99.9 in steady load (policy_benchmark).
-constexpr double newest_weight = 0.1;
+/// Weight of the newest sample in the moving average of the latency. With 0.2 the variance of
+/// single service times hides the differences between members, which costs 1 to 2 ms at p99.9 in
+/// steady load (policy_benchmark).
+constexpr double latency_average_weight = 0.1;
 
-/// Time after which a latency counts half when no reply has come since. A peer that was once slow
-/// gets no replies, so that its latency would otherwise keep traffic away for ever.
+/// Half-life of the latency while no calls end. A peer that was once slow gets no calls, so that
+/// without decay its latency would keep traffic away permanently.
 constexpr milliseconds latency_half_life{1000};
 
-/// Smallest weight that remains of an old latency.
-constexpr double lowest_decay = 0.125;
+/// Lower bound of the factor by which the latency decays.
+constexpr double min_decay = 0.125;
 
-std::uint16_t narrow(std::uint32_t value)
+std::uint16_t clamp_to_uint16(std::uint32_t value)
 {
     constexpr std::uint32_t highest = std::numeric_limits<std::uint16_t>::max();
     return static_cast<std::uint16_t>(std::min(value, highest));
@@ -36,31 +37,31 @@
     ++sent_since_report_;
 }
 
-void peer_load::end_call(milliseconds elapsed, bool answered, time_point now)
+void peer_load::end_call(milliseconds elapsed, bool succeeded, time_point now)
 {
     const std::lock_guard lock{mutex_};
     if (own_in_flight_ > 0) {
         --own_in_flight_;
     }
     const double sample = elapsed.count();
-    if (!answered && sample <= latency_ms_) {
+    if (!succeeded && sample <= latency_ms_) {
         return;
     }
     const double previous = latency_ms_ > 0.0F ? decayed_latency(now).count() : sample;
-    latency_ms_ = static_cast<float>(previous + newest_weight * (sample - previous));
-    replied_at_ = now;
+    latency_ms_ = static_cast<float>(previous + latency_average_weight * (sample - previous));
+    latency_updated_at_ = now;
 }
 
 void peer_load::record_report(const load_report& report, const priority_order& order,
                               time_point now)
 {
     const std::lock_guard lock{mutex_};
-    in_flight_ = narrow(report.in_flight);
-    limit_ = narrow(report.limit);
+    in_flight_ = clamp_to_uint16(report.in_flight);
+    limit_ = clamp_to_uint16(report.limit);
     queued_.fill(0);
     for (const queue_length& queue : report.queues) {
         std::uint16_t& length = queued_[order.rank(queue.priority)];
-        length = narrow(length + queue.length);
+        length = clamp_to_uint16(length + queue.length);
     }
     reported_latency_ms_ = static_cast<float>(report.latency.count());
     pace_ = static_cast<float>(report.pace);
@@ -107,14 +108,14 @@
     avoided_until_ = std::max(avoided_until_, until);
 }
 
-void peer_load::stop_avoiding()
+void peer_load::clear_avoidance()
 {
     const std::lock_guard lock{mutex_};
     avoided_until_ = {};
     latency_ms_ = 0.0F;
 }
 
-bool peer_load::avoided(time_point now) const
+bool peer_load::is_avoided(time_point now) const
 {
     const std::lock_guard lock{mutex_};
     return now < avoided_until_;
@@ -122,12 +123,12 @@
 
 milliseconds peer_load::decayed_latency(time_point now) const
 {
-    // Unanswered calls show that the peer has not become fast again.
-    if (own_in_flight_ > 0 || now <= replied_at_) {
+    // While calls are in flight there is no evidence that the peer has become faster.
+    if (own_in_flight_ > 0 || now <= latency_updated_at_) {
         return milliseconds{latency_ms_};
     }
-    const double decay = std::exp2(-(now - replied_at_) / latency_half_life);
-    return milliseconds{latency_ms_ * std::max(lowest_decay, decay)};
+    const double decay = std::exp2(-(now - latency_updated_at_) / latency_half_life);
+    return milliseconds{latency_ms_ * std::max(min_decay, decay)};
 }
 
 } // namespace chestnutstand
--- a/lib/routing/recent_quantile.cpp
+++ b/lib/routing/recent_quantile.cpp
@@ -9,33 +9,33 @@
 
 constexpr double first_bin_ms = 0.05;
 constexpr double bin_growth = 1.15;
-constexpr milliseconds rotation{5'000};
+constexpr milliseconds rotation_period{5'000};
 
-/// Below this the 95th percentile is decided by a single call.
-constexpr std::uint32_t least_samples = 40;
+/// With fewer samples the 95th percentile depends on a single call.
+constexpr std::uint32_t min_samples = 40;
 
 } // namespace
 
 void recent_quantile::record(milliseconds latency, time_point now)
 {
-    rotate(now);
+    advance_window(now);
     ++current_[bin_of(latency)];
 }
 
 std::optional<milliseconds> recent_quantile::value(double quantile, time_point now) const
 {
-    const bool expired = now - rotated_at_ >= 2 * rotation;
+    const bool expired = now - rotated_at_ >= 2 * rotation_period;
     const std::uint32_t total = std::accumulate(current_.begin(), current_.end(), 0U) +
                                 std::accumulate(previous_.begin(), previous_.end(), 0U);
-    if (expired || total < least_samples) {
+    if (expired || total < min_samples) {
         return std::nullopt;
     }
-    const double wanted = quantile * total;
-    double seen = 0.0;
+    const double target_count = quantile * total;
+    double cumulative_count = 0.0;
     std::size_t bin = 0;
     for (; bin + 1 < bin_count; ++bin) {
-        seen += current_[bin] + previous_[bin];
-        if (seen >= wanted) {
+        cumulative_count += current_[bin] + previous_[bin];
+        if (cumulative_count >= target_count) {
             break;
         }
     }
@@ -51,13 +51,13 @@
     return std::min(bin_count - 1, static_cast<std::size_t>(position));
 }
 
-void recent_quantile::rotate(time_point now)
+void recent_quantile::advance_window(time_point now)
 {
     const milliseconds age = now - rotated_at_;
-    if (age < rotation) {
+    if (age < rotation_period) {
         return;
     }
-    previous_ = age < 2 * rotation ? current_ : bins{};
+    previous_ = age < 2 * rotation_period ? current_ : bins{};
     current_.fill(0);
     rotated_at_ = now;
 }
--- a/lib/routing/service_peers.cpp
+++ b/lib/routing/service_peers.cpp
@@ -13,18 +13,18 @@
     peer_list next;
     std::vector<std::uint64_t> instances;
     next.reserve(members.size());
-    for (const member& known : members) {
-        if (known.draining || known.state == liveness::dead || known.state == liveness::left) {
+    for (const member& listed : members) {
+        if (listed.draining || listed.state == liveness::dead || listed.state == liveness::left) {
             continue;
         }
-        std::shared_ptr<peer> entry = find(known.node.instance);
+        std::shared_ptr<peer> entry = find(listed.node.instance);
         if (!entry) {
             entry = std::make_shared<peer>();
-            entry->node = known.node;
-            entry->data_centre = known.data_centre;
+            entry->node = listed.node;
+            entry->data_centre = listed.data_centre;
             entry->appeared_at = now;
         }
-        instances.push_back(known.node.instance);
+        instances.push_back(listed.node.instance);
         next.push_back(std::move(entry));
     }
     outliers_.set_members(instances);
@@ -39,45 +39,46 @@
     return found == peers_.end() ? nullptr : *found;
 }
 
-bool service_peers::avoided(const peer& entry, time_point now) const
+bool service_peers::is_avoided(const peer& entry, time_point now) const
 {
-    return entry.load.avoided(now) || outliers_.share(entry.node.instance, now) <= 0.0;
+    return entry.load.is_avoided(now) || outliers_.share(entry.node.instance, now) <= 0.0;
 }
 
-peer_list service_peers::eligible(const std::vector<std::uint64_t>& left_out, time_point now,
+peer_list service_peers::eligible(const std::vector<std::uint64_t>& excluded, time_point now,
                                   random_generator& random) const
 {
-    peer_list wanted;
-    peer_list avoided_ones;
-    double largest = 0.0;
+    peer_list eligible_members;
+    peer_list avoided_members;
+    double max_share = 0.0;
     for (const std::shared_ptr<peer>& entry : peers_) {
         const std::uint64_t instance = entry->node.instance;
-        if (std::find(left_out.begin(), left_out.end(), instance) != left_out.end()) {
+        if (std::find(excluded.begin(), excluded.end(), instance) != excluded.end()) {
             continue;
         }
-        if (avoided(*entry, now)) {
-            avoided_ones.push_back(entry);
+        if (is_avoided(*entry, now)) {
+            avoided_members.push_back(entry);
             continue;
         }
-        largest = std::max(largest, share(*entry, now));
-        wanted.push_back(entry);
+        max_share = std::max(max_share, share(*entry, now));
+        eligible_members.push_back(entry);
     }
-    if (wanted.empty()) {
-        return avoided_ones;
+    if (eligible_members.empty()) {
+        return avoided_members;
     }
-    // Relative to the largest share: when all members are new, all get traffic at once.
-    const auto last =
-        std::remove_if(wanted.begin(), wanted.end(), [&](const std::shared_ptr<peer>& entry) {
-            const double relative = share(*entry, now) / largest;
-            return relative < 1.0 && std::uniform_real_distribution<double>{}(random) >= relative;
+    // Shares are relative to the largest one, so that all members get traffic when all are new.
+    const auto last = std::remove_if(
+        eligible_members.begin(), eligible_members.end(), [&](const std::shared_ptr<peer>& entry) {
+            const double probability = share(*entry, now) / max_share;
+            return probability < 1.0 &&
+                   std::uniform_real_distribution<double>{}(random) >= probability;
         });
-    wanted.erase(last, wanted.end());
-    return wanted;
+    eligible_members.erase(last, eligible_members.end());
+    return eligible_members;
 }
 
 double service_peers::share(const peer& entry, time_point now) const
 {
-    return new_member_start.share(now - entry.appeared_at) *
+    return new_member_slow_start.share(now - entry.appeared_at) *
            outliers_.share(entry.node.instance, now);
 }
 
--- a/lib/routing/upstream_selector.cpp
+++ b/lib/routing/upstream_selector.cpp
@@ -11,40 +11,43 @@
 namespace chestnutstand {
 namespace {
 
-/// How long a member is avoided after it could not be reached or has refused all work. Gossip takes
-/// longer to remove it; a member that is back gets traffic soon.
-constexpr milliseconds avoidance{1000};
+/// How long a member is avoided after it was unreachable or refused all calls. Membership gossip
+/// takes longer to remove such a member; one that has recovered gets traffic again soon.
+constexpr milliseconds avoidance_period{1000};
 
-/// Age from which a report is stale. Load changes within milliseconds, so that such a report says
-/// little more than that the member exists.
-constexpr milliseconds stale_report{250};
+/// Age above which a report is stale. Load changes within milliseconds, so that an older report
+/// shows little more than that the member exists.
+constexpr milliseconds stale_report_age{250};
 
-/// Probes to nodes, whatever the number of calls, services and members.
+/// Limit of the rate of probes from this node, independent of the number of calls, services and
+/// members.
 constexpr double probes_per_s = 10.0;
 constexpr double probe_burst = 2.0;
-/// Silence from which a member with an unanswered call is probed: longer than usual calls take, as
-/// most are answered in between.
-constexpr milliseconds shortest_silence{150};
-constexpr double silence_of_latency = 1.5;
+/// A member with calls in flight is probed when it has been silent for at least min_silence and
+/// silence_per_latency times its latency. Calls usually take less time, so that most members
+/// respond before they are probed.
+constexpr milliseconds min_silence{150};
+constexpr double silence_per_latency = 1.5;
 
-/// Pause after a probe that failed; shorter than the avoidance, so that calls do not go there in
-/// between.
-constexpr milliseconds failed_probe_pause{250};
+/// Time between a failed probe and the next one. It is shorter than avoidance_period, so that the
+/// member gets no calls between probes.
+constexpr milliseconds failed_probe_interval{250};
 
 constexpr double hedge_quantile = 0.95;
 
-/// Queues that may refuse a call before it goes only to members with known room. Two members that
-/// were chosen by their load rarely are the only full ones.
-constexpr std::size_t refusals_before_room_most_urgent = 4;
-constexpr std::size_t refusals_before_room_others = 2;
+/// Number of queues that may refuse a call before it is sent only to members that are known to have
+/// spare capacity. When two members that were chosen by their load are full, others usually are
+/// too.
+constexpr std::size_t max_refusals_most_urgent = 4;
+constexpr std::size_t max_refusals_others = 2;
 
-std::size_t refusals_before_room(std::size_t rank)
+std::size_t max_refusals_before_filter(std::size_t rank)
 {
-    return rank == 0 ? refusals_before_room_most_urgent : refusals_before_room_others;
+    return rank == 0 ? max_refusals_most_urgent : max_refusals_others;
 }
 
-/// Whether the reason says that the member takes no work at all at the moment.
-bool takes_no_work(reason_code reason)
+/// Whether the reason shows that the member currently accepts no calls at all.
+bool means_unavailable(reason_code reason)
 {
     switch (reason) {
     case reason_code::peer_unreachable:
@@ -59,15 +62,15 @@
     }
 }
 
-/// Whether the upstream answered and did not fail.
-bool succeeded(const call_result& result)
+/// Whether the upstream responded without a server error.
+bool is_success(const call_result& result)
 {
     return result.outcome == call_outcome::completed && result.response.status < 500;
 }
 
-/// Whether the result speaks against the member. Refusals by its admission queue do not: the queue
-/// length in the report already keeps calls away from it.
-bool failed(const call_result& result)
+/// Whether the result counts as a failure of the member in outlier detection. Refusals by its
+/// admission queue do not, because the queue length in its report already reduces its traffic.
+bool is_member_failure(const call_result& result)
 {
     switch (result.outcome) {
     case call_outcome::completed:
@@ -75,13 +78,13 @@
     case call_outcome::unknown:
         return result.reason != reason_code::caller_gone;
     case call_outcome::not_run:
-        return takes_no_work(result.reason) || result.reason == reason_code::upstream_refused;
+        return means_unavailable(result.reason) || result.reason == reason_code::upstream_refused;
     }
     return false;
 }
 
-void log_ejection(ejection_change change, const peer& of, std::string_view service,
-                  std::size_t ejected)
+void log_ejection(ejection_change change, const peer& target, std::string_view service,
+                  std::size_t ejected_count)
 {
     if (change == ejection_change::none) {
         return;
@@ -89,10 +92,10 @@
     log_event(log_level::warning,
               change == ejection_change::ejected ? "member ejected for failures"
                                                  : "member readmitted",
-              {{"member", absl::StrCat(absl::Hex(of.node.instance))},
-               {"address", of.node.address},
+              {{"member", absl::StrCat(absl::Hex(target.node.instance))},
+               {"address", target.node.address},
                {"service", std::string{service}},
-               {"ejected_members", static_cast<std::uint64_t>(ejected)}});
+               {"ejected_members", static_cast<std::uint64_t>(ejected_count)}});
 }
 
 } // namespace
@@ -102,7 +105,7 @@
                                      selector_options options)
     : routes_{routes}, configuration_{configuration}, options_{std::move(options)},
       retry_limits_{options_.retry_limits}, random_{options_.seed},
-      distances_{options_.data_centre}, probes_{probes_per_s, probe_burst, options_.now()}
+      distances_{options_.data_centre}, probe_rate_limit_{probes_per_s, probe_burst, options_.now()}
 {
 }
 
@@ -113,43 +116,43 @@
     if (!configuration || !routes) {
         return nullptr;
     }
-    const auto declared =
+    const auto service_entry =
         std::find_if(configuration->services.begin(), configuration->services.end(),
                      [&service](const service_config& entry) { return entry.name == service; });
-    if (declared == configuration->services.end()) {
+    if (service_entry == configuration->services.end()) {
         return nullptr;
     }
     service_state& state = services_[service];
     if (state.configuration != configuration) {
-        configure(state, *declared);
+        configure(state, *service_entry);
         state.configuration = std::move(configuration);
     }
     if (state.routes != routes) {
         const std::vector<member>* members = routes->find(service);
         state.peers.update(members != nullptr ? *members : std::vector<member>{}, options_.now());
         if (retry_limits_) {
-            state.retries->set_share(share_of(*retry_limits_, routes->node_count()));
+            state.retries->set_share(share_per_node(*retry_limits_, routes->node_count()));
         }
         state.routes = std::move(routes);
     }
     return &state;
 }
 
-void upstream_selector::configure(service_state& state, const service_config& declared) const
+void upstream_selector::configure(service_state& state, const service_config& config) const
 {
-    state.order = priority_order{declared};
-    state.retry_ratio = declared.retry_ratio;
+    state.order = priority_order{config};
+    state.retry_ratio = config.retry_ratio;
     if (!state.retries) {
         state.retries.emplace(options_.now());
     }
-    if (state.policy && state.policy_name == declared.balancing_policy) {
+    if (state.policy && state.policy_name == config.balancing_policy) {
         return;
     }
-    state.policy_name = declared.balancing_policy;
+    state.policy_name = config.balancing_policy;
     state.policy = policy_registry::instance().make(state.policy_name);
     if (!state.policy) {
-        log_event(log_level::warning, "unknown balancing policy, the default is used",
-                  {{"service", declared.name}, {"policy", state.policy_name}});
+        log_event(log_level::warning, "unknown balancing policy; using the default policy",
+                  {{"service", config.name}, {"policy", state.policy_name}});
         state.policy = policy_registry::instance().make(default_policy);
     }
 }
@@ -160,17 +163,17 @@
     return {&entry.load, local ? milliseconds{0} : distances_.distance(entry.data_centre)};
 }
 
-std::shared_ptr<peer> upstream_selector::choose_from(service_state& state,
-                                                     std::string_view priority,
-                                                     const std::vector<std::uint64_t>& left_out,
-                                                     std::size_t queue_refusals)
+std::shared_ptr<peer> upstream_selector::choose_member(service_state& state,
+                                                       std::string_view priority,
+                                                       const std::vector<std::uint64_t>& excluded,
+                                                       std::size_t queue_refusals)
 {
     const time_point now = options_.now();
-    const selection_context circumstances{state.order.rank(priority), now};
-    peer_list eligible = state.peers.eligible(left_out, now, random_);
-    if (queue_refusals >= refusals_before_room(circumstances.rank)) {
+    const selection_context context{state.order.rank(priority), now};
+    peer_list eligible = state.peers.eligible(excluded, now, random_);
+    if (queue_refusals >= max_refusals_before_filter(context.rank)) {
         std::erase_if(eligible, [&](const auto& entry) {
-            return !has_known_room(entry->load.read(circumstances.rank, now));
+            return !has_known_spare_capacity(entry->load.read(context.rank, now));
         });
     }
     if (eligible.empty()) {
@@ -181,17 +184,17 @@
     for (const std::shared_ptr<peer>& entry : eligible) {
         candidates.push_back(candidate_for(*entry));
     }
-    return eligible[state.policy->choose(candidates, circumstances, random_)];
+    return eligible[state.policy->choose(candidates, context, random_)];
 }
 
 std::shared_ptr<peer> upstream_selector::choose(const std::string& service,
                                                 std::string_view priority,
-                                                const std::vector<std::uint64_t>& left_out,
+                                                const std::vector<std::uint64_t>& excluded,
                                                 std::size_t queue_refusals)
 {
     const std::lock_guard lock{mutex_};
     service_state* state = find_service(service);
-    return state == nullptr ? nullptr : choose_from(*state, priority, left_out, queue_refusals);
+    return state == nullptr ? nullptr : choose_member(*state, priority, excluded, queue_refusals);
 }
 
 std::shared_ptr<peer> upstream_selector::find(const std::string& service,
@@ -225,7 +228,7 @@
             const auto entry = state == nullptr ? nullptr : state->peers.find(node.instance);
             ranked item{true, 0.0, std::move(node)};
             if (entry) {
-                item.avoided = state->peers.avoided(*entry, now);
+                item.avoided = state->peers.is_avoided(*entry, now);
                 item.cost =
                     expected_cost(candidate_for(*entry), {state->order.rank(priority), now});
             }
@@ -247,15 +250,15 @@
                                                                std::size_t count)
 {
     std::vector<node_reference> chosen;
-    std::vector<std::uint64_t> left_out;
+    std::vector<std::uint64_t> excluded;
     const std::lock_guard lock{mutex_};
     service_state* state = find_service(service);
     while (state != nullptr && chosen.size() < count) {
-        const std::shared_ptr<peer> next = choose_from(*state, priority, left_out, 0);
+        const std::shared_ptr<peer> next = choose_member(*state, priority, excluded, 0);
         if (!next) {
             break;
         }
-        left_out.push_back(next->node.instance);
+        excluded.push_back(next->node.instance);
         chosen.push_back(next->node);
     }
     return chosen;
@@ -266,22 +269,22 @@
                                       time_point sent)
 {
     const time_point now = options_.now();
-    const bool good = succeeded(result);
-    target.load.end_call(now - sent, good, now);
-    if (result.outcome != call_outcome::completed && takes_no_work(result.reason)) {
-        target.load.avoid_until(now + avoidance);
+    const bool success = is_success(result);
+    target.load.end_call(now - sent, success, now);
+    if (result.outcome != call_outcome::completed && means_unavailable(result.reason)) {
+        target.load.avoid_until(now + avoidance_period);
     }
     const std::lock_guard lock{mutex_};
     service_state* state = find_service(service);
     if (state == nullptr) {
         return;
     }
-    if (good) {
+    if (success) {
         state->retries->record_success(state->retry_ratio);
         state->latencies[priority].record(now - sent, now);
     }
-    if (good || failed(result)) {
-        log_ejection(state->peers.outliers().record(target.node.instance, good, now, random_),
+    if (success || is_member_failure(result)) {
+        log_ejection(state->peers.outliers().record(target.node.instance, success, now, random_),
                      target, service, state->peers.outliers().ejected_count(now));
     }
     if (result.load && state->policy->reports() != report_source::probes) {
@@ -294,7 +297,7 @@
 {
     target.load.record_report(report, state.order, now);
     if (report.draining || !report.upstream_registered) {
-        target.load.avoid_until(now + avoidance);
+        target.load.avoid_until(now + avoidance_period);
     }
 }
 
@@ -303,7 +306,7 @@
     const std::lock_guard lock{mutex_};
     retry_limits_ = limits;
     for (auto& [name, state] : services_) {
-        // Shares are worked out again with the routes.
+        // Makes find_service recompute the share of this node.
         state.routes.reset();
         state.retries.reset();
         state.configuration.reset();
@@ -346,14 +349,13 @@
         if (entry->node.instance == options_.self_instance || entry->probing.load()) {
             continue;
         }
-        if (entry->probe_again_at) {
-            if (*entry->probe_again_at <= now) {
+        if (entry->next_probe_at) {
+            if (*entry->next_probe_at <= now) {
                 return entry;
             }
             continue;
         }
-        const auto limit =
-            std::max(shortest_silence, entry->load.latency(now) * silence_of_latency);
+        const auto limit = std::max(min_silence, entry->load.latency(now) * silence_per_latency);
         if (entry->load.silence(now) >= limit) {
             return entry;
         }
@@ -361,17 +363,18 @@
     return nullptr;
 }
 
-std::shared_ptr<peer> upstream_selector::stale_member(const service_state& state, time_point now)
+std::shared_ptr<peer> upstream_selector::member_with_stale_report(const service_state& state,
+                                                                  time_point now)
 {
     const peer_list& members = state.peers.all();
     const std::size_t index =
         std::uniform_int_distribution<std::size_t>{0, members.size() - 1}(random_);
     const std::shared_ptr<peer>& entry = members[index];
     const std::optional<milliseconds> age = entry->load.read(0, now).report_age;
-    const bool stale = !age || *age > stale_report;
-    const bool wanted = stale && entry->node.instance != options_.self_instance &&
-                        !entry->probing.load() && !entry->probe_again_at;
-    return wanted ? entry : nullptr;
+    const bool stale = !age || *age > stale_report_age;
+    const bool needs_probe = stale && entry->node.instance != options_.self_instance &&
+                             !entry->probing.load() && !entry->next_probe_at;
+    return needs_probe ? entry : nullptr;
 }
 
 std::shared_ptr<peer> upstream_selector::take_probe_target(const std::string& service)
@@ -385,9 +388,9 @@
     const time_point now = options_.now();
     std::shared_ptr<peer> target = unresponsive_member(*state, now);
     if (!target) {
-        target = stale_member(*state, now);
+        target = member_with_stale_report(*state, now);
     }
-    if (!target || !probes_.try_take(now)) {
+    if (!target || !probe_rate_limit_.try_take(now)) {
         return nullptr;
     }
     target->probing.store(true);
@@ -400,7 +403,7 @@
     const time_point now = options_.now();
     const std::lock_guard lock{mutex_};
     target.probing.store(false);
-    if (report.has_value() == target.probe_again_at.has_value()) {
+    if (report.has_value() == target.next_probe_at.has_value()) {
         log_event(log_level::warning, report ? "member answers again" : "member does not answer",
                   {{"member", absl::StrCat(absl::Hex(target.node.instance))},
                    {"address", target.node.address},
@@ -409,13 +412,13 @@
                    {"probe_ms", (now - sent).count()}});
     }
     if (!report) {
-        target.probe_again_at = now + failed_probe_pause;
-        target.load.avoid_until(now + avoidance);
+        target.next_probe_at = now + failed_probe_interval;
+        target.load.avoid_until(now + avoidance_period);
         return;
     }
-    if (target.probe_again_at) {
-        target.probe_again_at.reset();
-        target.load.stop_avoiding();
+    if (target.next_probe_at) {
+        target.next_probe_at.reset();
+        target.load.clear_avoidance();
     }
     distances_.record(target.data_centre, now - sent, now);
     const service_state* state = find_service(service);
--- a/unittests/routing/balancing_policy_test.cpp
+++ b/unittests/routing/balancing_policy_test.cpp
@@ -17,11 +17,11 @@
 
     void report(std::size_t index, std::uint32_t in_flight, double latency_ms = 10.0)
     {
-        load_report given;
-        given.in_flight = in_flight;
-        given.limit = 10;
-        given.latency = milliseconds{latency_ms};
-        loads_.at(index).record_report(given, priority_order{}, now);
+        load_report load;
+        load.in_flight = in_flight;
+        load.limit = 10;
+        load.latency = milliseconds{latency_ms};
+        loads_.at(index).record_report(load, priority_order{}, now);
     }
 
     std::array<int, peer_count> choose_often(const std::string& policy, int times)
@@ -30,10 +30,10 @@
         for (std::size_t i = 0; i < peer_count; ++i) {
             candidates.push_back({&loads_.at(i), distances_.at(i)});
         }
-        const auto chosen_by = policy_registry::instance().make(policy);
+        const auto balancer = policy_registry::instance().make(policy);
         std::array<int, peer_count> chosen{};
         for (int i = 0; i < times; ++i) {
-            ++chosen.at(chosen_by->choose(candidates, {0, now}, random_));
+            ++chosen.at(balancer->choose(candidates, {0, now}, random_));
         }
         return chosen;
     }
@@ -43,7 +43,7 @@
     random_generator random_{7};
 };
 
-// Guards against a policy that is declared in the design and missing from the binary.
+// Guards against a policy that the design specifies but that is missing from the binary.
 TEST_F(balancing_policy_test, all_policies_are_registered)
 {
     for (const char* name :
@@ -52,7 +52,7 @@
     }
 }
 
-// Guards against a policy that never uses some of equal peers.
+// Guards against a policy that ignores some of several equal peers.
 TEST_F(balancing_policy_test, equal_peers_all_get_traffic)
 {
     for (const auto& [name, make] : policy_registry::instance().factories()) {
@@ -62,22 +62,22 @@
     }
 }
 
-// Guards against refused calls that are carried on to members whose room is only assumed.
-TEST_F(balancing_policy_test, room_is_known_from_recent_reports_only)
+// Guards against sending refused calls to members whose spare capacity is only assumed.
+TEST_F(balancing_policy_test, spare_capacity_is_known_from_recent_reports_only)
 {
-    const auto known_at = [&](std::size_t index, milliseconds age) {
-        return has_known_room(loads_.at(index).read(0, now + age));
+    const auto has_capacity_at = [&](std::size_t index, milliseconds age) {
+        return has_known_spare_capacity(loads_.at(index).read(0, now + age));
     };
-    EXPECT_FALSE(known_at(0, milliseconds{0}));
+    EXPECT_FALSE(has_capacity_at(0, milliseconds{0}));
     report(0, 3);
-    EXPECT_TRUE(known_at(0, milliseconds{100}));
-    EXPECT_FALSE(known_at(0, milliseconds{300}));
+    EXPECT_TRUE(has_capacity_at(0, milliseconds{100}));
+    EXPECT_FALSE(has_capacity_at(0, milliseconds{300}));
     report(1, 9);
-    EXPECT_FALSE(known_at(1, milliseconds{0}));
+    EXPECT_FALSE(has_capacity_at(1, milliseconds{0}));
 }
 
-// Guards against traffic to the most loaded peer: of two different candidates it is never the
-// better one.
+// Guards against traffic to the most loaded peer, which is never the better one of two different
+// candidates.
 TEST_F(balancing_policy_test, two_choices_leaves_out_the_costliest)
 {
     for (std::size_t i = 0; i < peer_count; ++i) {
@@ -86,7 +86,7 @@
     EXPECT_EQ(choose_often("two_choices", 1000)[2], 0);
 }
 
-// Guards against a burst of calls to one peer between two of its reports.
+// Guards against a burst of calls to one peer between two of its load reports.
 TEST_F(balancing_policy_test, own_calls_since_the_report_count)
 {
     for (std::size_t i = 0; i < peer_count; ++i) {
@@ -98,8 +98,8 @@
     EXPECT_EQ(choose_often("two_choices", 1000)[1], 0);
 }
 
-// Guards against calls that leave the data centre although nearer members have room, and against
-// calls that stay although the nearer members are overloaded.
+// Guards against calls to another data centre although nearer members have spare capacity, and
+// against calls to nearer members that are overloaded.
 TEST_F(balancing_policy_test, distance_counts_as_latency)
 {
     for (std::size_t i = 0; i < peer_count; ++i) {
@@ -113,8 +113,8 @@
     EXPECT_GT(choose_often("two_choices", 1000)[3], 300);
 }
 
-// Guards against a new or returned peer that is never tried, because idle peers with a known
-// latency of a fraction of a millisecond always look cheaper.
+// Guards against a new or recovered peer that gets no calls because idle peers with a measured
+// latency below one millisecond always have a lower cost.
 TEST_F(balancing_policy_test, unmeasured_peer_is_tried_before_fast_idle_peers)
 {
     for (std::size_t i = 0; i < 3; ++i) {
@@ -125,17 +125,18 @@
     EXPECT_GT(choose_often("two_choices", 1000)[3], 300);
 }
 
-// Guards against a peer with a lower limit that gets as many calls as one with a higher limit.
+// Guards against a cost that ignores the limits of the peers, so that a peer with a lower limit
+// gets as many calls as the others.
 TEST_F(balancing_policy_test, limit_scales_the_cost)
 {
     for (std::size_t i = 0; i < peer_count; ++i) {
         report(i, 3);
     }
-    load_report small;
-    small.in_flight = 3;
-    small.limit = 4;
-    small.latency = milliseconds{10};
-    loads_[0].record_report(small, priority_order{}, now);
+    load_report low_limit;
+    low_limit.in_flight = 3;
+    low_limit.limit = 4;
+    low_limit.latency = milliseconds{10};
+    loads_[0].record_report(low_limit, priority_order{}, now);
     EXPECT_EQ(choose_often("two_choices", 1000)[0], 0);
 }
 
--- a/unittests/routing/outlier_detector_test.cpp
+++ b/unittests/routing/outlier_detector_test.cpp
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Time until the member gets traffic again.
+    /// Advances the time until the member gets traffic again and returns how long that took.
     milliseconds ejected_for(std::uint64_t instance)
     {
         const time_point from = now_;
@@ -37,29 +37,29 @@
     outlier_detector detector_;
 };
 
-// Guards against ejections and readmissions that leave no line in the log, or one for each call.
-TEST_F(outlier_detector_test, tells_each_change_once)
+// Guards against ejections and readmissions that are not logged, or are logged for each call.
+TEST_F(outlier_detector_test, reports_each_change_once)
 {
     record(2, true, 10);
     std::vector<ejection_change> changes;
-    const auto note = [&](bool succeeded) {
+    const auto record_change = [&](bool succeeded) {
         const auto change = detector_.record(1, succeeded, now_, random_);
         if (change != ejection_change::none) {
             changes.push_back(change);
         }
     };
     for (int i = 0; i < 30; ++i) {
-        note(false);
+        record_change(false);
     }
     ejected_for(1);
     for (int i = 0; i < 30; ++i) {
-        note(true);
+        record_change(true);
     }
     EXPECT_EQ(changes, (std::vector{ejection_change::ejected, ejection_change::readmitted}));
 }
 
-// Guards against an upstream that fails within microseconds and gets traffic until a time window
-// has passed.
+// Guards against an upstream that fails within microseconds but gets traffic until the end of a
+// time window.
 TEST_F(outlier_detector_test, fast_failures_eject_without_time_passing)
 {
     record(1, true, 100);
@@ -69,8 +69,7 @@
     EXPECT_EQ(detector_.share(2, now_), 1.0);
 }
 
-// Guards against ejections that leave the rest of the service overloaded when all members fail for
-// a common reason.
+// Guards against ejections that overload the remaining members when all fail for a common reason.
 TEST_F(outlier_detector_test, does_not_eject_when_all_fail_alike)
 {
     for (int i = 0; i < 100; ++i) {
@@ -81,7 +80,7 @@
     EXPECT_EQ(detector_.ejected_count(now_), 0U);
 }
 
-// Guards against a member that flaps between failing and readmission at a constant rate.
+// Guards against a failing member that is ejected and readmitted at a constant rate.
 TEST_F(outlier_detector_test, ejection_period_grows_while_member_keeps_failing)
 {
     record(2, true, 16);
@@ -96,23 +95,23 @@
     EXPECT_GT(third, second);
 }
 
-// Guards against a readmitted member that gets its whole share at once.
+// Guards against a readmitted member that gets its full share of traffic immediately.
 TEST_F(outlier_detector_test, readmission_is_gradual)
 {
     record(2, true, 16);
     record(1, false, 5);
     ejected_for(1);
-    const double at_first = detector_.share(1, now_);
-    now_ += readmission_start.ramp / 2;
-    const double halfway = detector_.share(1, now_);
-    now_ += readmission_start.ramp;
-    EXPECT_LT(at_first, 0.1);
-    EXPECT_GT(halfway, at_first);
-    EXPECT_LT(halfway, 0.9);
+    const double share_at_start = detector_.share(1, now_);
+    now_ += readmission_slow_start.ramp / 2;
+    const double share_halfway = detector_.share(1, now_);
+    now_ += readmission_slow_start.ramp;
+    EXPECT_LT(share_at_start, 0.1);
+    EXPECT_GT(share_halfway, share_at_start);
+    EXPECT_LT(share_halfway, 0.9);
     EXPECT_EQ(detector_.share(1, now_), 1.0);
 }
 
-// Guards against an ejection of more than half of a service, whatever fails in whatever order.
+// Guards against ejecting more than half of the members for any sequence of failures.
 TEST(outlier_detector, never_ejects_more_than_half)
 {
     EXPECT_TRUE(rc::check([] {
--- a/unittests/routing/peer_load_test.cpp
+++ b/unittests/routing/peer_load_test.cpp
@@ -18,13 +18,13 @@
     return service;
 }
 
-// Guards against a load state that no longer fits the memory planned per peer (about 100 B).
+// Guards against exceeding the planned memory per peer of about 100 B.
 TEST(peer_load, is_small)
 {
     EXPECT_LE(sizeof(peer_load), 112U);
 }
 
-// Guards against urgent calls that avoid a peer because of calls that they overtake there.
+// Guards against urgent calls that avoid a peer because of less urgent calls in its queues.
 TEST(peer_load, counts_only_queues_ahead_of_the_rank)
 {
     const priority_order order{two_classes()};
@@ -36,7 +36,8 @@
     EXPECT_EQ(load.read(order.rank("bulk"), start).queued_ahead, 32U);
 }
 
-// Guards against fast failures that make a peer look fast, and against timeouts that go unnoticed.
+// Guards against fast failures that lower the latency of a peer, and against timeouts that do not
+// raise it.
 TEST(peer_load, failed_calls_only_raise_latency)
 {
     peer_load load;
@@ -50,8 +51,8 @@
     EXPECT_GT(load.read(0, start).latency.count(), 100.0);
 }
 
-// Guards against a peer that was slow once and is left out for ever, and against one that has
-// unanswered calls and is taken for recovered.
+// Guards against permanently avoiding a peer that was once slow, and against treating a peer with
+// calls in flight as recovered.
 TEST(peer_load, latency_decays_only_without_unanswered_calls)
 {
     peer_load load;
@@ -62,8 +63,8 @@
     EXPECT_DOUBLE_EQ(load.read(0, start + milliseconds{10'000}).latency.count(), 800.0);
 }
 
-// Guards against a node that does not notice that a peer has stopped to answer, and against one
-// that takes an idle peer for silent.
+// Guards against not detecting that a peer has stopped responding, and against treating an idle
+// peer as silent.
 TEST(peer_load, silence_grows_while_calls_are_unanswered)
 {
     peer_load load;
@@ -79,7 +80,7 @@
     EXPECT_EQ(load.silence(at(900)), milliseconds{0});
 }
 
-// Guards against lost updates when many threads use one peer.
+// Guards against lost updates when several threads use one peer.
 TEST(peer_load, counts_are_exact_under_concurrency)
 {
     peer_load load;
@@ -93,8 +94,8 @@
             }
         });
     }
-    for (std::thread& running : threads) {
-        running.join();
+    for (std::thread& thread : threads) {
+        thread.join();
     }
     EXPECT_EQ(load.read(0, start).own_in_flight, 0U);
     EXPECT_EQ(load.read(0, start).sent_since_report, 40'000U);
--- a/unittests/routing/recent_quantile_test.cpp
+++ b/unittests/routing/recent_quantile_test.cpp
@@ -5,8 +5,8 @@
 namespace chestnutstand {
 namespace {
 
-// Guards against hedges after a delay that is far from the 95th percentile, and against hedges
-// based on a time long past.
+// Guards against a hedge delay that is far from the 95th percentile, and against one that is based
+// on outdated latencies.
 TEST(recent_quantile, follows_recent_latencies)
 {
     time_point now{milliseconds{1'000'000}};
--- a/unittests/routing/retry_budget_test.cpp
+++ b/unittests/routing/retry_budget_test.cpp
@@ -11,9 +11,9 @@
 namespace chestnutstand {
 namespace {
 
-// Guards against more retries than the ratio of successful calls and the floor allow, whatever the
-// order of successes and retries.
-TEST(retry_budget, stays_within_ratio_and_floor)
+// Guards against more retries than the ratio of successful calls and the minimum rate allow, for
+// any order of successes and retries.
+TEST(retry_budget, stays_within_ratio_and_minimum_rate)
 {
     EXPECT_TRUE(rc::check([] {
         constexpr double ratio = 0.1;
@@ -38,23 +38,24 @@
     }));
 }
 
-// Guards against a store of unused retries that is spent all at once in a failure.
-TEST(retry_budget, saves_up_a_bounded_number)
+// Guards against an unbounded number of unused tokens, which a sudden failure would turn into a
+// burst of retries.
+TEST(retry_budget, holds_a_bounded_number_of_tokens)
 {
     time_point now{milliseconds{1'000'000}};
     retry_budget budget{now};
     for (int i = 0; i < 100'000; ++i) {
         budget.record_success(0.1);
     }
-    double taken = 0.0;
+    double taken_tokens = 0.0;
     while (budget.try_take(now)) {
-        taken += 1.0;
+        taken_tokens += 1.0;
     }
-    EXPECT_EQ(taken, retry_budget::max_tokens);
+    EXPECT_EQ(taken_tokens, retry_budget::max_tokens);
 }
 
-/// A tree of calls in which every attempt may fail in any way. The upstream of a call copies the
-/// budget that it gets to each of its own calls.
+/// A tree of calls with random failures of attempts, with and without reaching the upstream. The
+/// upstream of a call copies the budget that it receives to each of its own calls.
 class call_tree {
 public:
     call_tree(std::vector<std::vector<std::size_t>> children, std::uint64_t seed)
@@ -63,7 +64,8 @@
     {
     }
 
-    /// Dispatches the call as often as its budget allows; true when it succeeded.
+    /// Attempts the call until it succeeds or its budget is exhausted, at most four times. Returns
+    /// whether it succeeded.
     bool dispatch(std::size_t index, std::uint32_t received)
     {
         tree_budget budget{received};
@@ -107,15 +109,15 @@
     int failing_percent_;
 };
 
-/// Tree with the given numbers as offsets from each call to its caller, at most 25 deep.
+/// Builds a tree of calls, at most 25 deep, from the offsets between each call and its caller.
 std::vector<std::vector<std::size_t>> grow_tree(const std::vector<std::size_t>& offsets)
 {
-    constexpr std::size_t deepest = 25;
+    constexpr std::size_t max_depth = 25;
     std::vector<std::vector<std::size_t>> children(offsets.size() + 1);
     std::vector<std::size_t> depth(offsets.size() + 1, 0);
     for (std::size_t i = 1; i <= offsets.size(); ++i) {
         std::size_t caller = i - std::min(i, 1 + offsets[i - 1] % 4);
-        if (depth[caller] == deepest) {
+        if (depth[caller] == max_depth) {
             caller = 0;
         }
         depth[i] = depth[caller] + 1;
@@ -124,8 +126,9 @@
     return children;
 }
 
-// Guards against retries that multiply with the depth of a call tree: no call reaches an upstream
-// more than budget + 1 times, so that the whole tree has at most (budget + 1) x calls attempts.
+// Guards against retries that multiply with the depth of a call tree. Each call may reach an
+// upstream at most budget + 1 times, so that the whole tree has at most (budget + 1) x calls
+// attempts.
 TEST(tree_budget, bounds_attempts_at_any_depth)
 {
     EXPECT_TRUE(rc::check([] {
@@ -138,8 +141,8 @@
     }));
 }
 
-// Guards against a budget that is lost when attempts reach no upstream, and against one that
-// allows no retry at all.
+// Guards against losing the budget of attempts that reach no upstream, and against a budget that
+// permits no retry.
 TEST(tree_budget, keeps_one_retry_and_returns_unused_parts)
 {
     tree_budget budget{3};
@@ -153,7 +156,7 @@
     EXPECT_EQ(empty.start(), std::nullopt);
 }
 
-// Guards against nodes that keep their own limits each and together exceed those of the fleet.
+// Guards against nodes that stay within their own limits but together exceed those of the fleet.
 TEST(retry_budget, shares_of_all_nodes_stay_within_the_limits_of_the_fleet)
 {
     constexpr std::size_t nodes = 12;
@@ -161,10 +164,10 @@
     time_point now{milliseconds{1'000'000}};
     std::vector<retry_budget> budgets(nodes, retry_budget{now});
     for (auto& budget : budgets) {
-        budget.set_share(share_of(limits, nodes));
+        budget.set_share(share_per_node(limits, nodes));
         while (budget.try_take(now)) {
         }
-        budget.set_share(share_of(limits, nodes));
+        budget.set_share(share_per_node(limits, nodes));
     }
     now += milliseconds{60'000};
     double calls = 0.0;
