--- a/unittests/replay/event_loop.h
+++ b/unittests/replay/event_loop.h
@@ -9,10 +9,12 @@
 
 namespace chestnutstand {
 
-/// Deterministic event loop with simulated time.
+/// Deterministic event loop in simulated time. Events that are due at the same time run in the
+/// order in which they were added.
 class event_loop {
 public:
     time_point now() const { return now_; }
+    /// Runs the work once the delay has passed.
     void after(milliseconds delay, std::function<void()> work);
     void run_until(time_point end);
 
--- a/unittests/replay/model_network.cpp
+++ b/unittests/replay/model_network.cpp
@@ -9,24 +9,25 @@
 namespace chestnutstand {
 namespace {
 
-constexpr milliseconds same_data_centre{0.1};
+constexpr milliseconds latency_within_data_centre{0.1};
 
 } // namespace
 
 milliseconds model_network::one_way(const model_member& target) const
 {
-    return target.data_centre() == data_centre_ ? same_data_centre : between_data_centres_;
+    return target.data_centre() == data_centre_ ? latency_within_data_centre
+                                                : latency_between_data_centres_;
 }
 
 void model_network::execute(const node_reference& target, const service_call& call, call_done done)
 {
     model_member& member = find_(target.instance);
     const milliseconds delay = one_way(member);
-    // Whichever comes first ends the call: its answer, its cancellation or its deadline.
-    const auto once = std::make_shared<call_done>(std::move(done));
-    const auto end = [once](call_result result) {
-        if (const auto first = std::exchange(*once, nullptr)) {
-            first(std::move(result));
+    // The call ends with its response, its cancellation or its deadline, whichever comes first.
+    const auto pending_done = std::make_shared<call_done>(std::move(done));
+    const auto end = [pending_done](call_result result) {
+        if (const auto done_now = std::exchange(*pending_done, nullptr)) {
+            done_now(std::move(result));
         }
     };
     const milliseconds left = std::max(milliseconds{0}, call.deadline - loop_.now());
@@ -53,7 +54,9 @@
     const milliseconds delay = one_way(member);
     loop_.after(delay, [this, &member, delay, timeout, done = std::move(done)] {
         if (member.silent) {
-            loop_.after(timeout, [done] { done(absl::DeadlineExceededError("no answer")); });
+            loop_.after(timeout, [done] {
+                done(absl::DeadlineExceededError("no response from the modelled member"));
+            });
             return;
         }
         loop_.after(delay, [done, report = member.report()] { done(report); });
--- a/unittests/replay/model_network.h
+++ b/unittests/replay/model_network.h
@@ -10,7 +10,7 @@
 
 namespace chestnutstand {
 
-/// An upstream with the node beside it, as other nodes reach it.
+/// Model of an upstream and its node, as other nodes reach them.
 class model_member {
 public:
     model_member(std::uint64_t instance, std::size_t data_centre)
@@ -27,7 +27,7 @@
     std::uint64_t instance() const { return instance_; }
     std::size_t data_centre() const { return data_centre_; }
 
-    /// Whether the node is silent: what reaches it gets no answer.
+    /// Whether the node responds to no calls and probes.
     bool silent = false;
 
 private:
@@ -35,16 +35,16 @@
     const std::size_t data_centre_;
 };
 
-/// Carries calls and probes of one dispatcher to the members, with network latency in simulated
-/// time. A silent member's calls end at their deadline.
+/// Delivers the calls and probes of one dispatcher to the members, with network latency in
+/// simulated time. Calls to a silent member end at their deadline.
 class model_network final : public peer_client {
 public:
     using member_finder = std::function<model_member&(std::uint64_t instance)>;
 
     model_network(event_loop& loop, member_finder find, std::size_t data_centre,
-                  milliseconds between_data_centres)
-        : loop_{loop}, find_{std::move(find)}, data_centre_{data_centre}, between_data_centres_{
-                                                                              between_data_centres}
+                  milliseconds latency_between_data_centres)
+        : loop_{loop}, find_{std::move(find)}, data_centre_{data_centre},
+          latency_between_data_centres_{latency_between_data_centres}
     {
     }
 
@@ -74,7 +74,7 @@
     event_loop& loop_;
     member_finder find_;
     const std::size_t data_centre_;
-    const milliseconds between_data_centres_;
+    const milliseconds latency_between_data_centres_;
 };
 
 } // namespace chestnutstand
--- a/unittests/replay/replay_member.h
+++ b/unittests/replay/replay_member.h
@@ -13,53 +13,55 @@
 
 namespace chestnutstand::replay {
 
-/// Which decisions are those of the product; the others are the simpler ones they replaced.
+/// Selects, for each decision, the algorithm of the product or the simpler one that it replaced.
+/// The default is the product.
 struct policy_options {
-    /// Order by urgency with guaranteed shares; otherwise by arrival.
+    /// Requests are ordered by urgency with guaranteed shares; otherwise by arrival.
     bool by_urgency = true;
-    /// Requests wait, or go elsewhere, while the upstream is slow.
+    /// Requests wait or are sent to another member while the upstream is slow.
     bool follow_pace = true;
-    /// The number of running requests follows latencies and rejections; otherwise it is the slots.
+    /// The limit of running requests adapts to latencies and rejections; otherwise it is the number
+    /// of slots.
     bool adaptive_limit = true;
-    /// Rejections by an upstream with free slots do not lower that number.
+    /// Rejections by an upstream with free slots do not lower the limit.
     bool ignore_rejections_with_free_slots = true;
-    /// Refused callers are asked back within their latency target; otherwise after a second.
+    /// Refused callers retry within their latency target; otherwise after one second.
     bool retry_within_target = true;
-    /// Requests of callers that have left are taken out of the queues.
+    /// Requests of callers that have left are removed from the queues.
     bool cancel_abandoned = true;
     std::string balancing = "two_choices";
 };
 
-/// An upstream that gets slower when it is nearly full, and the node beside it with the decisions
-/// of the product.
+/// Model of an upstream that gets slower when it is nearly full, together with its node, which uses
+/// the admission queue and pace tracking of the product.
 class replay_member final : public model_member {
 public:
     replay_member(event_loop& loop, std::uint64_t instance, std::size_t data_centre,
-                  const service_config& service, const policy_options& chosen, std::uint64_t seed);
+                  const service_config& service, const policy_options& options, std::uint64_t seed);
 
     void execute(const service_call& call, call_done done) override;
     load_report report() const override;
 
-    /// Refuses all further calls, as at a planned stop.
+    /// Refuses all further calls, as in a planned shutdown.
     void drain() { queue_.drain(); }
 
     static constexpr std::uint32_t slots = 8;
 
-    // What the upstream does; may change while it runs.
+    // Behaviour of the upstream; may be changed during the simulation.
 
-    /// Factor of the work that starts now, as its neighbours on the VM leave time for it.
+    /// Factor on the duration of work that starts now, caused by other VMs on the hardware.
     double pace = 1.0;
-    /// Factor that its reports do not tell.
+    /// Factor on the duration that its reports do not show.
     double slowdown = 1.0;
-    /// Factor of the first work of a new process, and when it is warm.
+    /// Factor on the duration until warm_at, while a new process warms up.
     double cold_factor = 1.0;
     time_point warm_at;
-    /// Answers 500 at once.
+    /// Responds with status 500 immediately.
     bool fails_fast = false;
-    /// Share of requests that it rejects although it has free slots.
+    /// Share of requests that it rejects with status 503 although it has free slots.
     double rejected_share = 0.0;
-    /// Takes requests and answers none, from a number of running ones on; 0 means never.
-    std::uint32_t mute_from = 0;
+    /// Accepts requests without responding while at least this many are running; 0 disables it.
+    std::uint32_t stalls_from = 0;
 
 private:
     struct execution {
@@ -68,32 +70,33 @@
         std::size_t priority = 0;
         bool started = false;
         time_point started_at;
-        /// Whether the upstream works on it.
+        /// Whether the upstream is running it.
         bool occupies_slot = false;
     };
     using execution_ptr = std::shared_ptr<execution>;
 
     bool refuses(const service_call& call) const;
-    void offer(std::uint64_t id, const execution_ptr& offered);
+    void offer(std::uint64_t id, const execution_ptr& entry);
     void take_decisions();
-    void watch_expiry();
+    void schedule_expiry_check();
     void start(std::uint64_t id);
-    void answer(std::uint64_t id, int status);
+    void respond(std::uint64_t id, int status);
     void finish(std::uint64_t id, const upstream_sample& sample, call_result result);
     void cancel(std::uint64_t id);
-    void refuse(const execution_ptr& refused, reason_code reason) const;
-    milliseconds work(const execution& what);
-    double roll();
+    void refuse(const execution_ptr& entry, reason_code reason) const;
+    /// Draws the duration of the work.
+    milliseconds work_time(const execution& entry);
+    double random_fraction();
 
     event_loop& loop_;
-    policy_options policies_;
+    policy_options options_;
     admission_queue queue_;
     upstream_pace pace_;
     std::mt19937_64 random_;
     std::unordered_map<std::uint64_t, execution_ptr> executions_;
     std::uint64_t last_id_ = 0;
     std::uint32_t busy_ = 0;
-    bool expiry_watched_ = false;
+    bool expiry_check_scheduled_ = false;
 };
 
 } // namespace chestnutstand::replay
--- a/unittests/replay/replay_model.cpp
+++ b/unittests/replay/replay_model.cpp
@@ -9,60 +9,61 @@
 namespace {
 
 constexpr milliseconds between_data_centres{1.5};
-constexpr milliseconds fixed_return{1'000};
-/// A caller waits this many targets for an answer, again each time it comes back.
-constexpr double patience = 4.0;
-/// A refusal after more than this share of the target was not given at once.
-constexpr double at_once_share = 0.125;
+constexpr milliseconds fixed_retry_delay{1'000};
+/// Deadline of each try of a request as a multiple of its latency target.
+constexpr double deadline_targets = 4.0;
+/// Longest wait for a refusal that counts as immediate, as a share of the latency target.
+constexpr double immediate_refusal_share = 0.125;
 constexpr double leaving_share_of_target = 0.5;
-constexpr milliseconds settling{5'000};
+constexpr milliseconds drain_time{5'000};
 constexpr std::uint32_t attempts = 3;
 constexpr int status_ok = 200;
 
 } // namespace
 
-/// One request as its caller sees it, over all its returns.
-struct model::caller {
+/// State of one request at its caller, over all its tries.
+struct model::request_state {
     std::size_t kind = 0;
     time_point begun;
     time_point sent;
-    /// Time that its tries have spent waiting for answers.
-    milliseconds held{0};
+    /// Time that its tries have spent waiting for results.
+    milliseconds waited{0};
     bool counted = false;
-    bool over = false;
-    int returns = 0;
+    bool finished = false;
+    int caller_retries = 0;
     std::shared_ptr<cancellation> cancel;
 };
 
-model::model(replay_settings described, const policy_options& chosen, std::uint64_t seed)
-    : world_{std::move(described)}, policies_{chosen}, random_{seed},
-      bursts_(world_.kinds.size(), 1.0), results_(world_.kinds.size())
+model::model(replay_settings settings, const policy_options& options, std::uint64_t seed)
+    : settings_{std::move(settings)}, options_{options}, random_{seed},
+      load_factors_(settings_.kinds.size(), 1.0), results_(settings_.kinds.size())
 {
-    // A generator for each kind, used for arrivals only, gives all policies the same load.
-    for (std::size_t i = 0; i < world_.kinds.size(); ++i) {
-        arrivals_.emplace_back(seed * 100 + i);
+    // Each kind has a generator of its own for arrivals, so that all policies get the same load.
+    for (std::size_t i = 0; i < settings_.kinds.size(); ++i) {
+        arrival_random_.emplace_back(seed * 100 + i);
     }
     service_.name = "desk";
-    service_.balancing_policy = policies_.balancing;
-    for (const kind& each : world_.kinds) {
-        service_.priorities.push_back({each.name, each.target, each.weight, true});
+    service_.balancing_policy = options_.balancing;
+    for (const kind& request_kind : settings_.kinds) {
+        service_.priorities.push_back(
+            {request_kind.name, request_kind.target, request_kind.weight, true});
     }
     publish_document();
-    for (std::size_t i = 0; i < world_.upstreams; ++i) {
-        add_member(i % world_.data_centres);
+    for (std::size_t i = 0; i < settings_.upstreams; ++i) {
+        add_member(i % settings_.data_centres);
     }
     publish_members();
-    for (std::size_t i = 0; i < world_.dispatchers; ++i) {
-        add_dispatcher(i % world_.data_centres);
+    for (std::size_t i = 0; i < settings_.dispatchers; ++i) {
+        add_dispatcher(i % settings_.data_centres);
     }
 }
 
 replay_member& model::add_member(std::size_t data_centre)
 {
     const std::uint64_t instance = members_.size() + 1;
-    routed_.push_back(members_.size());
+    routed_indexes_.push_back(members_.size());
     members_.push_back(std::make_unique<replay_member>(loop_, instance, data_centre, service_,
-                                                       policies_, random_()));
+                                                       options_, random_()));
     return *members_.back();
 }
 
@@ -76,7 +77,7 @@
 void model::publish_members()
 {
     auto table = std::make_shared<routing_table>();
-    for (const std::size_t index : routed_) {
+    for (const std::size_t index : routed_indexes_) {
         chestnutstand::member entry;
         entry.node = {members_[index]->instance(), "127.0.0.1", 1};
         entry.service = service_.name;
@@ -107,13 +108,13 @@
 
 void model::remove_member(std::size_t index)
 {
-    std::erase(routed_, index);
+    std::erase(routed_indexes_, index);
     publish_members();
 }
 
 void model::add_cold_member(double factor, milliseconds warm_after)
 {
-    replay_member& added = add_member(members_.size() % world_.data_centres);
+    replay_member& added = add_member(members_.size() % settings_.data_centres);
     added.cold_factor = factor;
     added.warm_at = loop_.now() + warm_after;
     publish_members();
@@ -123,22 +124,23 @@
 {
     start_ = loop_.now();
     load.prepare(*this);
-    for (std::size_t i = 0; i < world_.kinds.size(); ++i) {
+    for (std::size_t i = 0; i < settings_.kinds.size(); ++i) {
         schedule_arrival(i);
     }
     loop_.run_until(start_ + warm_up + measured);
     ended_ = true;
-    loop_.run_until(start_ + warm_up + measured + settling);
+    loop_.run_until(start_ + warm_up + measured + drain_time);
     return results_;
 }
 
 void model::schedule_arrival(std::size_t kind)
 {
-    const auto& what = world_.kinds[kind];
-    const double slots = static_cast<double>(world_.upstreams) * replay_member::slots;
-    const double per_ms = what.load * bursts_[kind] * slots / what.mean_work.count();
+    const auto& request_kind = settings_.kinds[kind];
+    const double slots = static_cast<double>(settings_.upstreams) * replay_member::slots;
+    const double per_ms =
+        request_kind.load * load_factors_[kind] * slots / request_kind.mean_work.count();
     std::exponential_distribution<double> gap{per_ms};
-    loop_.after(milliseconds{gap(arrivals_[kind])}, [this, kind] {
+    loop_.after(milliseconds{gap(arrival_random_[kind])}, [this, kind] {
         if (!ended_) {
             arrive(kind);
             schedule_arrival(kind);
@@ -148,103 +150,105 @@
 
 void model::arrive(std::size_t kind)
 {
-    const auto who = std::make_shared<caller>();
-    who->kind = kind;
-    who->begun = loop_.now();
-    who->counted = counts();
-    results_[kind].offered += who->counted ? 1 : 0;
+    const auto request = std::make_shared<request_state>();
+    request->kind = kind;
+    request->begun = loop_.now();
+    request->counted = is_measuring();
+    results_[kind].offered += request->counted ? 1 : 0;
     std::uniform_real_distribution<double> share{0.0, 1.0};
-    if (share(arrivals_[kind]) < world_.leaving_share) {
-        loop_.after(world_.kinds[kind].target * leaving_share_of_target,
-                    [this, who] { leave(who); });
+    if (share(arrival_random_[kind]) < settings_.leaving_share) {
+        loop_.after(settings_.kinds[kind].target * leaving_share_of_target,
+                    [this, request] { leave(request); });
     }
-    send(who);
+    send(request);
 }
 
-void model::send(const caller_ptr& who)
+void model::send(const request_ptr& request)
 {
-    const kind& what = world_.kinds[who->kind];
-    service_call request;
-    request.service = service_.name;
-    request.priority = what.name;
-    request.repeat = repeatability::repeatable;
-    request.retry_budget = attempts - 1;
-    who->sent = loop_.now();
-    request.deadline = who->sent + what.target * patience;
-    request.request.body = std::to_string(what.mean_work.count());
-    request.cancel = who->cancel = std::make_shared<cancellation>();
+    const kind& request_kind = settings_.kinds[request->kind];
+    service_call call;
+    call.service = service_.name;
+    call.priority = request_kind.name;
+    call.repeat = repeatability::repeatable;
+    call.retry_budget = attempts - 1;
+    request->sent = loop_.now();
+    call.deadline = request->sent + request_kind.target * deadline_targets;
+    call.request.body = std::to_string(request_kind.mean_work.count());
+    call.cancel = request->cancel = std::make_shared<cancellation>();
     std::uniform_int_distribution<std::size_t> index{0, dispatchers_.size() - 1};
-    dispatchers_[index(arrivals_[who->kind])]->dispatch(
-        request, [this, who](const call_result& result) { finish(who, result); });
+    dispatchers_[index(arrival_random_[request->kind])]->dispatch(
+        call, [this, request](const call_result& result) { finish(request, result); });
 }
 
-void model::finish(const caller_ptr& who, const call_result& result)
+void model::finish(const request_ptr& request, const call_result& result)
 {
-    if (who->over) {
+    if (request->finished) {
         return;
     }
-    const kind& what = world_.kinds[who->kind];
-    const milliseconds elapsed = loop_.now() - who->begun;
-    const milliseconds held = loop_.now() - who->sent;
-    who->held += held;
-    if (result.outcome == call_outcome::not_run && who->returns < world_.returns) {
+    const kind& request_kind = settings_.kinds[request->kind];
+    const milliseconds elapsed = loop_.now() - request->begun;
+    const milliseconds waited = loop_.now() - request->sent;
+    request->waited += waited;
+    if (result.outcome == call_outcome::not_run &&
+        request->caller_retries < settings_.max_caller_retries) {
         std::uniform_real_distribution<double> position{0.0, 1.0};
-        milliseconds pause = policies_.retry_within_target
-                                 ? return_time(what.target, position(random_))
-                                 : fixed_return;
-        pause = world_.repeat_at_once ? milliseconds{1} : pause;
-        ++who->returns;
-        loop_.after(pause, [this, who] {
-            if (!who->over) {
-                send(who);
+        milliseconds pause = options_.retry_within_target
+                                 ? return_time(request_kind.target, position(random_))
+                                 : fixed_retry_delay;
+        pause = settings_.retry_at_once ? milliseconds{1} : pause;
+        ++request->caller_retries;
+        loop_.after(pause, [this, request] {
+            if (!request->finished) {
+                send(request);
             }
         });
         return;
     }
-    who->over = true;
-    if (!who->counted) {
+    request->finished = true;
+    if (!request->counted) {
         return;
     }
-    kind_result& sums = results_[who->kind];
+    kind_result& sums = results_[request->kind];
     if (result.outcome == call_outcome::completed && result.response.status == status_ok) {
-        ++(elapsed <= what.target ? sums.in_target : sums.late);
+        ++(elapsed <= request_kind.target ? sums.in_target : sums.late);
         return;
     }
-    sums.wasted_wait_ms += who->held.count();
+    sums.wasted_wait_ms += request->waited.count();
     if (result.outcome == call_outcome::not_run) {
-        ++(held <= what.target * at_once_share ? sums.refused_at_once : sums.refused_after_waiting);
+        ++(waited <= request_kind.target * immediate_refusal_share ? sums.refused_at_once
+                                                                   : sums.refused_after_waiting);
         return;
     }
     ++sums.failed;
 }
 
-void model::leave(const caller_ptr& who)
+void model::leave(const request_ptr& request)
 {
-    if (std::exchange(who->over, true)) {
+    if (std::exchange(request->finished, true)) {
         return;
     }
-    if (who->counted) {
-        ++results_[who->kind].left;
+    if (request->counted) {
+        ++results_[request->kind].left;
     }
-    if (policies_.cancel_abandoned) {
-        who->cancel->cancel();
+    if (options_.cancel_abandoned) {
+        request->cancel->cancel();
     }
 }
 
-kind_result total(const replay_settings& described, const policy_options& chosen,
+kind_result total(const replay_settings& settings, const policy_options& options,
                   const pattern& load, std::uint64_t seeds)
 {
     kind_result sum;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        for (const kind_result& each : model{described, chosen, seed}.play(load)) {
-            sum.offered += each.offered;
-            sum.in_target += each.in_target;
-            sum.late += each.late;
-            sum.refused_at_once += each.refused_at_once;
-            sum.refused_after_waiting += each.refused_after_waiting;
-            sum.failed += each.failed;
-            sum.left += each.left;
-            sum.wasted_wait_ms += each.wasted_wait_ms;
+        for (const kind_result& result : model{settings, options, seed}.play(load)) {
+            sum.offered += result.offered;
+            sum.in_target += result.in_target;
+            sum.late += result.late;
+            sum.refused_at_once += result.refused_at_once;
+            sum.refused_after_waiting += result.refused_after_waiting;
+            sum.failed += result.failed;
+            sum.left += result.left;
+            sum.wasted_wait_ms += result.wasted_wait_ms;
         }
     }
     return sum;
--- a/unittests/replay/replay_model.h
+++ b/unittests/replay/replay_model.h
@@ -22,7 +22,7 @@
     double load = 0.2;
 };
 
-/// What became of the requests of one kind.
+/// Number of requests of one kind by result.
 struct kind_result {
     std::uint64_t offered = 0;
     std::uint64_t in_target = 0;
@@ -31,7 +31,7 @@
     std::uint64_t refused_after_waiting = 0;
     std::uint64_t failed = 0;
     std::uint64_t left = 0;
-    /// Time that requests without an answer of an upstream were held.
+    /// Total time that requests waited that ended without a successful response.
     double wasted_wait_ms = 0.0;
 };
 
@@ -40,43 +40,45 @@
     std::size_t data_centres = 2;
     std::size_t dispatchers = 4;
     std::vector<kind> kinds;
-    /// How often a refused caller comes back.
-    int returns = 2;
-    /// Share of the callers that leave at half of their target.
+    /// How often a caller retries a refused request.
+    int max_caller_retries = 2;
+    /// Share of the callers that leave after half of their latency target.
     double leaving_share = 0.0;
-    /// Callers repeat a refused request at once instead of when they are asked to.
-    bool repeat_at_once = false;
+    /// Callers retry a refused request after 1 ms instead of the requested delay.
+    bool retry_at_once = false;
 };
 
 class model;
 
-/// A load pattern: changes a running model.
+/// A load pattern: schedules changes of a model while it runs.
 struct pattern {
     std::string name;
     std::function<void(model&)> prepare;
 };
 
 /// Dispatchers and admission queues of the product in front of modelled upstreams, in simulated
-/// time; the same for a seed.
+/// time. The seed determines the results.
 class model {
 public:
-    model(replay_settings described, const policy_options& chosen, std::uint64_t seed);
+    model(replay_settings settings, const policy_options& options, std::uint64_t seed);
 
-    /// Plays 4 s of warm-up and 10 s that count; patterns act from the start of the latter.
+    /// Simulates 4 s of warm-up and 10 s of measurement. Times of the pattern are relative to the
+    /// start of the measurement.
     std::vector<kind_result> play(const pattern& load);
 
     replay_member& member(std::size_t index) { return *members_[index]; }
     std::size_t size() const { return members_.size(); }
-    /// Runs after a time of the part that counts.
+    /// Runs the work at a time relative to the start of the measurement.
     void at(milliseconds time, std::function<void()> work);
     void after(milliseconds delay, std::function<void()> work)
     {
         loop_.after(delay, std::move(work));
     }
-    /// Multiplies the load of one kind.
-    void set_burst(std::size_t kind, double factor) { bursts_[kind] = factor; }
-    /// Members from then on; a new member joins cold.
+    /// Sets the factor on the load of one kind.
+    void set_load_factor(std::size_t kind, double factor) { load_factors_[kind] = factor; }
+    /// Removes a member from the routing table.
     void remove_member(std::size_t index);
+    /// Adds a member whose work takes longer by the factor until it has warmed up.
     void add_cold_member(double factor, milliseconds warm_after);
     std::mt19937_64& random() { return random_; }
 
@@ -84,8 +86,8 @@
     static constexpr milliseconds measured{10'000};
 
 private:
-    struct caller;
-    using caller_ptr = std::shared_ptr<caller>;
+    struct request_state;
+    using request_ptr = std::shared_ptr<request_state>;
 
     replay_member& add_member(std::size_t data_centre);
     void publish_document();
@@ -93,23 +95,23 @@
     void add_dispatcher(std::size_t data_centre);
     void schedule_arrival(std::size_t kind);
     void arrive(std::size_t kind);
-    void send(const caller_ptr& who);
-    void finish(const caller_ptr& who, const call_result& result);
-    void leave(const caller_ptr& who);
-    bool counts() const { return loop_.now() >= start_ + warm_up && !ended_; }
+    void send(const request_ptr& request);
+    void finish(const request_ptr& request, const call_result& result);
+    void leave(const request_ptr& request);
+    bool is_measuring() const { return loop_.now() >= start_ + warm_up && !ended_; }
 
     event_loop loop_;
-    replay_settings world_;
-    policy_options policies_;
+    replay_settings settings_;
+    policy_options options_;
     std::mt19937_64 random_;
-    std::vector<std::mt19937_64> arrivals_;
-    std::vector<double> bursts_;
+    std::vector<std::mt19937_64> arrival_random_;
+    std::vector<double> load_factors_;
     service_config service_;
     snapshot<routing_table> routes_;
     snapshot<document> configuration_;
     metrics counters_;
     std::vector<std::unique_ptr<replay_member>> members_;
-    std::vector<std::size_t> routed_;
+    std::vector<std::size_t> routed_indexes_;
     std::vector<std::unique_ptr<model_network>> networks_;
     std::vector<std::unique_ptr<dispatcher>> dispatchers_;
     std::vector<kind_result> results_;
@@ -117,15 +119,15 @@
     bool ended_ = false;
 };
 
-/// Refund desk: an urgent, a normal and a batch kind on the same upstreams.
+/// Settings of a refund desk with urgent, normal and batch requests on the same upstreams.
 replay_settings refund_desk();
 
-/// The load patterns by name, the calm one first.
+/// All load patterns; the first one changes nothing.
 const std::vector<pattern>& patterns();
 const pattern& find_pattern(const std::string& name);
 
-/// Sums over the kinds and over the seeds 1 to count.
-kind_result total(const replay_settings& described, const policy_options& chosen,
+/// Sum of the results over all kinds and over the seeds from 1 to the given number.
+kind_result total(const replay_settings& settings, const policy_options& options,
                   const pattern& load, std::uint64_t seeds);
 
 } // namespace chestnutstand::replay
--- a/unittests/replay/replay_test.cpp
+++ b/unittests/replay/replay_test.cpp
@@ -8,84 +8,95 @@
 namespace {
 
 constexpr std::uint64_t seeds = 3;
-/// Share of the requests that a decision may cost where its pattern is absent.
-constexpr double price_when_calm = 0.01;
+/// Largest share of the requests in target that an algorithm may cost without its load pattern.
+constexpr double max_loss_when_calm = 0.01;
 
-/// One decision against the simpler one before it, under the pattern that it answers.
-struct gain {
+/// An algorithm of the product, the simpler one that it replaced, and the load pattern for which it
+/// was introduced.
+struct policy_comparison {
     const char* decision;
     const char* pattern;
     void (*replace)(policy_options&);
     void (*prepare)(replay_settings&);
 };
 
-std::ostream& operator<<(std::ostream& out, const gain& shown)
+std::ostream& operator<<(std::ostream& out, const policy_comparison& comparison)
 {
-    return out << shown.decision << " under " << shown.pattern;
+    return out << comparison.decision << " under " << comparison.pattern;
 }
 
-double in_target(const gain& compared, const policy_options& chosen, const std::string& pattern)
+double in_target(const policy_comparison& comparison, const policy_options& options,
+                 const std::string& pattern)
 {
-    replay_settings described = refund_desk();
-    compared.prepare(described);
-    const auto sum = total(described, chosen, find_pattern(pattern), seeds);
+    replay_settings settings = refund_desk();
+    comparison.prepare(settings);
+    const auto sum = total(settings, options, find_pattern(pattern), seeds);
     return static_cast<double>(sum.in_target) / static_cast<double>(sum.offered);
 }
 
-class replay_gain : public ::testing::TestWithParam<gain> {
+class replay_gain : public ::testing::TestWithParam<policy_comparison> {
 protected:
     policy_options before() const
     {
-        policy_options chosen;
-        GetParam().replace(chosen);
-        return chosen;
+        policy_options options;
+        GetParam().replace(options);
+        return options;
     }
 };
 
-// Guards against a decision that no longer serves more callers in time under its load pattern.
+// Guards against an algorithm that does not serve more callers in time under its load pattern than
+// the simpler one.
 TEST_P(replay_gain, serves_more_in_time_under_its_pattern)
 {
-    const auto& compared = GetParam();
-    EXPECT_GT(in_target(compared, {}, compared.pattern),
-              in_target(compared, before(), compared.pattern));
+    const auto& comparison = GetParam();
+    EXPECT_GT(in_target(comparison, {}, comparison.pattern),
+              in_target(comparison, before(), comparison.pattern));
 }
 
-// Guards against a decision that pays for its pattern with ordinary load.
+// Guards against an algorithm that serves fewer callers in time under ordinary load than the
+// simpler one.
 TEST_P(replay_gain, costs_little_without_it)
 {
-    const auto& compared = GetParam();
-    EXPECT_GT(in_target(compared, {}, "calm"),
-              in_target(compared, before(), "calm") - price_when_calm);
+    const auto& comparison = GetParam();
+    EXPECT_GT(in_target(comparison, {}, "calm"),
+              in_target(comparison, before(), "calm") - max_loss_when_calm);
 }
 
-constexpr auto ordinary_world = [](replay_settings&) {};
-constexpr auto by_arrival = [](policy_options& chosen) { chosen.by_urgency = false; };
-constexpr auto random_placement = [](policy_options& chosen) { chosen.balancing = "random"; };
+constexpr auto default_settings = [](replay_settings&) {};
+constexpr auto order_by_arrival = [](policy_options& options) { options.by_urgency = false; };
+constexpr auto random_placement = [](policy_options& options) { options.balancing = "random"; };
 
 INSTANTIATE_TEST_SUITE_P(
     decisions, replay_gain,
     ::testing::Values(
-        gain{"order by urgency", "burst of one kind", by_arrival, ordinary_world},
-        gain{"order by urgency", "burst of the most urgent kind", by_arrival, ordinary_world},
-        gain{"pace of the upstream", "noise",
-             [](policy_options& chosen) { chosen.follow_pace = false; }, ordinary_world},
-        gain{"adaptive limit", "slow upstream",
-             [](policy_options& chosen) { chosen.adaptive_limit = false; }, ordinary_world},
-        gain{"free slots spared", "rejections with free slots",
-             [](policy_options& chosen) { chosen.ignore_rejections_with_free_slots = false; },
-             ordinary_world},
-        gain{"return within the target", "burst of one kind",
-             [](policy_options& chosen) { chosen.retry_within_target = false; }, ordinary_world},
-        gain{"abandoned requests removed", "burst of one kind",
-             [](policy_options& chosen) { chosen.cancel_abandoned = false; },
-             [](replay_settings& described) { described.leaving_share = 0.3; }},
-        gain{"placement by load", "slow upstream", random_placement, ordinary_world},
-        gain{"placement by load", "cold starts", random_placement, ordinary_world},
-        gain{"placement by load", "silent nodes", random_placement, ordinary_world},
-        gain{"placement by load", "machines lost", random_placement, ordinary_world}),
+        policy_comparison{"order by urgency", "burst of one kind", order_by_arrival,
+                          default_settings},
+        policy_comparison{"order by urgency", "burst of the most urgent kind", order_by_arrival,
+                          default_settings},
+        policy_comparison{"pace of the upstream", "noise",
+                          [](policy_options& options) { options.follow_pace = false; },
+                          default_settings},
+        policy_comparison{"adaptive limit", "slow upstream",
+                          [](policy_options& options) { options.adaptive_limit = false; },
+                          default_settings},
+        policy_comparison{
+            "free slots spared", "rejections with free slots",
+            [](policy_options& options) { options.ignore_rejections_with_free_slots = false; },
+            default_settings},
+        policy_comparison{"return within the target", "burst of one kind",
+                          [](policy_options& options) { options.retry_within_target = false; },
+                          default_settings},
+        policy_comparison{"abandoned requests removed", "burst of one kind",
+                          [](policy_options& options) { options.cancel_abandoned = false; },
+                          [](replay_settings& settings) { settings.leaving_share = 0.3; }},
+        policy_comparison{"placement by load", "slow upstream", random_placement, default_settings},
+        policy_comparison{"placement by load", "cold starts", random_placement, default_settings},
+        policy_comparison{"placement by load", "silent nodes", random_placement, default_settings},
+        policy_comparison{"placement by load", "machines lost", random_placement,
+                          default_settings}),
     [](const auto& info) { return "gain_" + std::to_string(info.index); });
 
-// Guards against a model whose results depend on anything but its seed.
+// Guards against a model whose results depend on anything other than its seed and settings.
 TEST(replay_model, is_the_same_for_a_seed)
 {
     const auto& load = find_pattern("noise");
@@ -96,7 +107,7 @@
     EXPECT_EQ(first.wasted_wait_ms, second.wasted_wait_ms);
 }
 
-// Guards against requests that the model loses or counts twice.
+// Guards against requests that the model does not count or counts twice.
 TEST(replay_model, accounts_for_all_requests)
 {
     for (const pattern& load : patterns()) {
