--- a/unittests/replay/replay_member.cpp
+++ b/unittests/replay/replay_member.cpp
@@ -95,7 +95,7 @@
     loop_.after(expiry_step, [this] {
         expiry_check_scheduled_ = false;
         // An upstream without work sends no reports, so a slow one is polled until it recovers.
-        if (pace_.wants_refresh(loop_.now())) {
+        if (pace_.needs_refresh(loop_.now())) {
             pace_.observe(pace, loop_.now());
         }
         take_decisions();
