--- a/include/chestnutstand/membership/membership.h
+++ b/include/chestnutstand/membership/membership.h
@@ -59,7 +59,7 @@
     /// All known members, this node first.
     std::vector<member> members() const;
     /// How long no message of another member has arrived.
-    milliseconds silence() const;
+    milliseconds time_since_last_message() const;
     /// Serves SyncMembers.
     void handle_sync(const std::vector<std::string>& theirs,
                      const peer_client::members_done& reply);
--- a/lib/membership/membership.cpp
+++ b/lib/membership/membership.cpp
@@ -263,7 +263,7 @@
     return impl_->protocol_ ? impl_->protocol_->members() : std::vector<member>{};
 }
 
-milliseconds membership::silence() const
+milliseconds membership::time_since_last_message() const
 {
     return impl_->protocol_ ? ms_clock::now() - impl_->protocol_->last_heard() : milliseconds{0};
 }
--- a/lib/node/components/membership_component.cpp
+++ b/lib/node/components/membership_component.cpp
@@ -84,7 +84,7 @@
     /// only make a few more or fewer of them read.
     bool tails_document(kernel& node) const
     {
-        if (members_->silence() > silence_limit) {
+        if (members_->time_since_last_message() > silence_limit) {
             return true;
         }
         std::size_t lower = 0;
