--- a/include/chestnutstand/membership/cluster_id.h
+++ b/include/chestnutstand/membership/cluster_id.h
@@ -5,8 +5,8 @@
 
 namespace chestnutstand {
 
-/// Identity of the cluster whose nodes share a secret; 0 for an empty one. It tells clusters apart
-/// and proves nothing about the sender.
+/// Returns the identifier of the cluster whose nodes share the secret; 0 for an empty secret. It
+/// distinguishes clusters and does not authenticate a sender.
 std::uint64_t cluster_id(std::string_view secret);
 
 } // namespace chestnutstand
--- a/include/chestnutstand/membership/gossip_codec.h
+++ b/include/chestnutstand/membership/gossip_codec.h
@@ -12,7 +12,7 @@
 
 enum class gossip_kind : std::uint8_t { ping, ack, ping_request, config_hint, push };
 
-/// One gossip datagram.
+/// Decoded gossip datagram; GossipMessage in gossip.proto describes the fields.
 struct gossip_message {
     gossip_kind kind = gossip_kind::ping;
     std::uint64_t sequence = 0;
@@ -25,27 +25,29 @@
     std::uint64_t cluster = 0;
 };
 
-/// Content of a push-pull exchange.
+/// Content of one message of a push-pull exchange.
 struct sync_content {
     std::vector<member> members;
-    /// Digest per bucket; empty when the sender only hands over members.
+    /// One digest per bucket of instances; empty when the message only transfers members.
     std::vector<std::uint64_t> digests;
     std::uint64_t cluster = 0;
 };
 
 std::string encode(const gossip_message& message);
 
-/// Null when the bytes are no valid message; invalid updates are left out.
+/// Returns nothing when the bytes are not a valid message. Invalid updates are skipped.
 std::optional<gossip_message> decode_gossip(std::string_view bytes);
 
-/// Upper bound of the bytes that an update adds to a message.
+/// Upper bound of the bytes that the update adds to an encoded message.
 std::size_t encoded_size(const member& update);
 
 std::vector<std::string> encode(const sync_content& content);
+/// Skips items that are not valid.
 sync_content decode_sync(const std::vector<std::string>& items);
 
-/// Payload of the members stream.
+/// Encodes the address of a node as a record of the member directory.
 std::string encode_join_record(const member& self);
+/// Returns nothing when the payload is not a valid record.
 std::optional<member> decode_join_record(const std::string& payload);
 
 } // namespace chestnutstand
--- a/include/chestnutstand/membership/gossip_transport.h
+++ b/include/chestnutstand/membership/gossip_transport.h
@@ -14,23 +14,24 @@
 
 namespace chestnutstand {
 
-/// Packets and bytes of UDP payload since the start.
+/// Packets and bytes of UDP payload since the process started.
 struct gossip_traffic {
     std::uint64_t packets_sent = 0;
     std::uint64_t bytes_sent = 0;
     std::uint64_t packets_received = 0;
     std::uint64_t bytes_received = 0;
-    /// Bytes of push-pull exchanges, which go over gRPC.
+    /// Bytes of push-pull exchanges, which use gRPC instead of UDP.
     std::uint64_t sync_bytes_sent = 0;
     std::uint64_t sync_bytes_received = 0;
 };
 
-/// UDP socket with one receive thread. The handler runs on the control thread.
+/// UDP socket with one receive thread. Received datagrams are handled on the control thread.
 class gossip_transport {
 public:
     using handler = std::function<void(const std::string& payload)>;
 
-    /// Port 0 means assigned by the kernel.
+    /// Binds the socket to an IPv4 address and starts the receive thread. For port 0 the kernel
+    /// assigns a port.
     static absl::StatusOr<std::unique_ptr<gossip_transport>>
     open(const std::string& address, std::uint16_t port, control_loop& loop, handler on_datagram);
 
@@ -39,18 +40,18 @@
     ~gossip_transport();
 
     std::uint16_t port() const { return port_; }
-    /// Best effort: a datagram that the socket does not accept at once is dropped.
+    /// Does not block: a datagram that the socket does not accept immediately is dropped.
     void send(const datagram& out);
     gossip_traffic traffic() const;
 
 private:
-    gossip_transport(int socket, int wake, std::uint16_t port, control_loop& loop,
+    gossip_transport(int socket, int stop_event, std::uint16_t port, control_loop& loop,
                      handler on_datagram);
     void receive();
 
     const int socket_;
-    /// Event descriptor that ends the receive thread.
-    const int wake_;
+    /// Event descriptor that stops the receive thread.
+    const int stop_event_;
     const std::uint16_t port_;
     control_loop& loop_;
     const std::shared_ptr<const handler> handler_;
--- a/include/chestnutstand/membership/join_log.h
+++ b/include/chestnutstand/membership/join_log.h
@@ -14,12 +14,13 @@
 
 namespace chestnutstand {
 
-/// Join records of the members stream, read from its tail on. Used on the control thread.
+/// Member directory in the members stream of the log. Only the newest records of the stream are
+/// read.
 class join_log final : public member_directory, public std::enable_shared_from_this<join_log> {
 public:
     join_log(control_loop& loop, log_client& log) : loop_{loop}, log_{log} {}
 
-    /// The first call reads the tail of the stream.
+    /// The first successful call reads the tail of the stream, later ones the records after it.
     void refresh(done finished) override;
     void append(const member& self, done finished) override;
     void purge(time_point now, milliseconds retention) override;
--- a/include/chestnutstand/membership/keyed_directory.h
+++ b/include/chestnutstand/membership/keyed_directory.h
@@ -8,8 +8,9 @@
 
 namespace chestnutstand {
 
-/// One record per node address in the keyed store. A process that starts again replaces the record
-/// of the one before it, so that the number of records follows the number of VMs.
+/// Member directory in the keyed store, with one record per node address. A restarted process
+/// overwrites the record of its predecessor, so the number of records is bounded by the number of
+/// VMs.
 class keyed_directory final : public member_directory,
                               public std::enable_shared_from_this<keyed_directory> {
 public:
@@ -21,7 +22,7 @@
     std::optional<std::size_t> sufficient_record_count() const override;
 
 private:
-    void take(const keyed_page& page);
+    void replace_records(const keyed_page& page);
 
     control_loop& loop_;
     keyed_store& store_;
--- a/include/chestnutstand/membership/member_directory.h
+++ b/include/chestnutstand/membership/member_directory.h
@@ -13,12 +13,13 @@
 
 namespace chestnutstand {
 
-/// Records outside of the fleet that tell a new node how to reach others. Used on the control
-/// thread, on which its callbacks run as well.
+/// Directory of node addresses, stored outside the cluster, that a new node uses to find members.
+/// Methods are called on the control thread, and callbacks run there.
 class member_directory {
 public:
     struct record {
         member node;
+        /// When the record was written, or when it was read if the store does not tell.
         time_point appended;
     };
     using done = std::function<void(absl::Status)>;
@@ -28,18 +29,19 @@
     member_directory& operator=(const member_directory&) = delete;
     virtual ~member_directory() = default;
 
-    /// Reads the records that are new since the last call.
+    /// Reads the records that were added since the last call.
     virtual void refresh(done finished) = 0;
+    /// Writes a record of this node.
     virtual void append(const member& self, done finished) = 0;
 
     /// The latest record of each instance.
     const std::unordered_map<std::uint64_t, record>& records() const { return records_; }
 
-    /// Forgets old records.
+    /// Drops records older than the retention from memory, unless the store bounds their number.
     virtual void purge(time_point now, milliseconds retention) = 0;
 
-    /// Fresh records per data centre with which a node need not add its own; nothing when every
-    /// node adds one.
+    /// Number of recent records of a data centre at which further nodes there add none; nothing
+    /// when every node adds its own.
     virtual std::optional<std::size_t> sufficient_record_count() const = 0;
 
 protected:
--- a/include/chestnutstand/membership/member_order.h
+++ b/include/chestnutstand/membership/member_order.h
@@ -4,12 +4,13 @@
 
 namespace chestnutstand {
 
-/// True when the state a replaces the state b of the same member. The order is total: a higher
-/// incarnation wins, then the worse liveness, then the remaining fields. Only a member raises its
-/// own incarnation, so states of one incarnation differ in liveness alone.
+/// Whether state a replaces state b of the same member. The order is total: the higher incarnation
+/// takes precedence, then the later liveness value (alive, suspect, dead, left), then the remaining
+/// fields. Only a member increments its own incarnation, so states of one incarnation differ only
+/// in liveness.
 bool supersedes(const member& a, const member& b);
 
-/// The state that two nodes agree on after they have exchanged a and b.
+/// The state that two nodes hold after they have exchanged states a and b of a member.
 inline const member& merge(const member& a, const member& b)
 {
     return supersedes(a, b) ? a : b;
--- a/include/chestnutstand/membership/membership.h
+++ b/include/chestnutstand/membership/membership.h
@@ -22,53 +22,58 @@
 struct membership_options {
     /// Instance, address, ports and data centre of this node.
     member self;
-    /// Address of the gossip socket; empty means that of self.
+    /// Address that the gossip socket is bound to; empty for the address of self.
     std::string bind_address;
     std::vector<seed_address> seeds;
-    /// See cluster_id().
+    /// Result of cluster_id().
     std::uint64_t cluster = 0;
     std::uint64_t random_seed = 0;
 };
 
-/// This node's part in the cluster: joining, gossip and the routing table. All methods are called
-/// on the control thread, except where noted. The loop and the clients outlive the object.
+/// Membership of this node in the cluster: joins it, runs gossip and publishes the routing table.
+/// Methods are called on the control thread unless noted otherwise. The control loop and the
+/// clients must outlive the object.
 class membership {
 public:
     membership(membership_options options, control_loop& loop,
                std::shared_ptr<member_directory> directory, peer_client& peers);
-    /// With a directory in the members stream of the log.
+    /// Uses the members stream of the log as member directory.
     membership(membership_options options, control_loop& loop, log_client& log, peer_client& peers);
     membership(const membership&) = delete;
     membership& operator=(const membership&) = delete;
     /// Any thread.
     ~membership();
 
-    /// Binds the UDP socket (port 0: assigned by the kernel) and starts to join. Any thread, once.
+    /// Binds the UDP socket (for port 0 the kernel assigns one) and starts to join the cluster.
+    /// Called once, on any thread.
     absl::Status start();
-    /// Any thread, after start.
+    /// The port that the gossip socket is bound to. Any thread, after start.
     std::uint16_t gossip_port() const;
 
-    /// An empty service means that no upstream is registered.
+    /// Announces the upstream of this node; an empty service means that none is registered.
     void set_local_upstream(const std::string& service, std::uint32_t slots);
+    /// Announces that this node accepts no new calls.
     void set_draining();
-    /// Tells peers that this node stops; best effort. Gossip ends.
+    /// Announces to some peers, without retries, that this node leaves, and stops gossip.
     void leave();
 
-    /// Members that may receive calls, this node included. Any thread; never null after start.
+    /// Members that may receive calls, including this node. Any thread; never null.
     const snapshot<routing_table>& table() const;
-    /// All known members, this node first.
+    /// All known members, starting with this node.
     std::vector<member> members() const;
-    /// How long no message of another member has arrived.
+    /// Time since the last gossip message of another member, or since the start if there was none.
     milliseconds time_since_last_message() const;
-    /// Serves SyncMembers.
-    void handle_sync(const std::vector<std::string>& theirs,
+    /// Handles a SyncMembers request.
+    void handle_sync(const std::vector<std::string>& request,
                      const peer_client::members_done& reply);
 
-    /// Offset after the newest configuration record replayed here; peers are told when it grows.
+    /// Sets the offset after the newest configuration record that this node has replayed. Peers are
+    /// notified when it increases.
     void set_config_next_offset(std::uint64_t next);
-    /// Called with every message of a peer whose offset is higher.
+    /// Sets the callback for messages of peers that have replayed more configuration records; its
+    /// arguments are the peer and the peer's offset.
     void on_config_hint(std::function<void(node_reference, std::uint64_t)> callback);
-    /// Called when this node finds that it was paused for longer than the suspicion time.
+    /// Sets the callback for a pause of this process longer than the suspicion timeout.
     void on_resume(std::function<void()> callback);
 
     /// Any thread, after start.
--- a/include/chestnutstand/membership/routing_changes.h
+++ b/include/chestnutstand/membership/routing_changes.h
@@ -6,12 +6,12 @@
 
 namespace chestnutstand {
 
-/// Difference of two routing tables, by service and instance.
+/// Difference of two routing tables. Members are identified by service and instance.
 struct routing_changes {
     std::vector<member> added;
     std::vector<member> removed;
 };
 
-routing_changes compare_routes(const routing_table& before, const routing_table& now);
+routing_changes compare_routes(const routing_table& before, const routing_table& after);
 
 } // namespace chestnutstand
--- a/include/chestnutstand/membership/update_queue.h
+++ b/include/chestnutstand/membership/update_queue.h
@@ -7,18 +7,19 @@
 
 namespace chestnutstand {
 
-/// Members whose state is still to be passed on, each a bounded number of times. Urgent ones go
-/// first, then those that were sent the fewest times.
+/// Queue of members whose state is disseminated by gossip, each a bounded number of times. Urgent
+/// updates are sent first, then those with the fewest transmissions.
 class update_queue {
 public:
-    /// Queues a member, or starts its count again when it is queued already.
+    /// Queues a member, or resets its transmission count if it is queued already.
     void add(std::uint64_t instance, bool urgent);
 
-    /// Calls visit in order of precedence while it returns true for "sent"; an element that was
-    /// sent limit times is dropped. Elements that do not fit are skipped; at most max_sent are
-    /// sent, and of those that are not urgent only such as were sent fewer than recent times.
-    void take(std::size_t limit, std::size_t max_sent, std::size_t recent,
-              const std::function<bool(std::uint64_t)>& visit);
+    /// Offers members to try_send in order of precedence until max_sent are sent. try_send returns
+    /// whether it sent the update; one that does not fit is skipped and stays queued. A member is
+    /// dropped after transmit_limit transmissions. Updates that are not urgent are offered only
+    /// while they have been sent fewer than non_urgent_limit times.
+    void send_next(std::size_t transmit_limit, std::size_t max_sent, std::size_t non_urgent_limit,
+                   const std::function<bool(std::uint64_t)>& try_send);
 
     std::size_t size() const { return entries_.size(); }
 
@@ -29,7 +30,7 @@
         bool urgent = false;
     };
 
-    void mark_sent(std::uint64_t instance, std::size_t limit);
+    void mark_sent(std::uint64_t instance, std::size_t transmit_limit);
 
     std::unordered_map<std::uint64_t, entry> entries_;
     std::uint64_t next_order_ = 0;
--- a/lib/membership/cluster_id.cpp
+++ b/lib/membership/cluster_id.cpp
@@ -13,7 +13,7 @@
     if (secret.empty()) {
         return 0;
     }
-    // The prefix keeps the value apart from other digests of the secret.
+    // The prefix separates this value from other digests of the secret.
     const std::string text = "gossip\n" + std::string{secret};
     std::array<unsigned char, SHA256_DIGEST_LENGTH> digest{};
     SHA256(reinterpret_cast<const unsigned char*>(text.data()), text.size(), digest.data());
--- a/lib/membership/gossip_codec.cpp
+++ b/lib/membership/gossip_codec.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Tag and two length bytes of a repeated field whose elements are shorter than 16 KiB.
+// One tag byte and two length bytes per element of a repeated field; elements are below 16 KiB.
 constexpr std::size_t update_framing_bytes = 3;
 
 void to_wire(const member& from, wire::MemberState& to)
@@ -27,15 +27,15 @@
     to.set_slots(from.slots);
 }
 
-bool is_port(std::uint32_t port)
+bool is_valid_port(std::uint32_t port)
 {
     return port <= std::numeric_limits<std::uint16_t>::max();
 }
 
 std::optional<member> from_wire(const wire::MemberState& from)
 {
-    if (from.instance() == 0 || from.address().empty() || !is_port(from.gossip_port()) ||
-        !is_port(from.node_port()) || !wire::Liveness_IsValid(from.liveness())) {
+    if (from.instance() == 0 || from.address().empty() || !is_valid_port(from.gossip_port()) ||
+        !is_valid_port(from.node_port()) || !wire::Liveness_IsValid(from.liveness())) {
         return std::nullopt;
     }
     member to;
@@ -168,7 +168,7 @@
 {
     wire::JoinRecord record;
     if (!record.ParseFromString(payload) || record.instance() == 0 || record.address().empty() ||
-        !is_port(record.gossip_port()) || !is_port(record.node_port())) {
+        !is_valid_port(record.gossip_port()) || !is_valid_port(record.node_port())) {
         return std::nullopt;
     }
     member joined;
--- a/lib/membership/gossip_transport.cpp
+++ b/lib/membership/gossip_transport.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 constexpr std::size_t max_datagram_bytes = 65'536;
-// Holds the datagrams of a pause of some seconds.
+// Holds the datagrams that arrive while the process is paused for a few seconds.
 constexpr int receive_buffer_bytes = 512 * 1024;
 
 std::optional<sockaddr_in> socket_address(const std::string& address, std::uint16_t port)
@@ -34,9 +34,9 @@
     return result;
 }
 
-absl::Status system_error(const std::string& what)
+absl::Status system_error(const std::string& operation)
 {
-    return absl::UnavailableError(absl::StrCat(what, ": ", std::strerror(errno)));
+    return absl::UnavailableError(absl::StrCat(operation, ": ", std::strerror(errno)));
 }
 
 } // namespace
@@ -49,33 +49,33 @@
     auto bound = socket_address(address, port);
     if (!bound) {
         return absl::InvalidArgumentError(
-            absl::StrCat("gossip address is no IPv4 address: ", address));
+            absl::StrCat("gossip address is not an IPv4 address: ", address));
     }
     const int socket = ::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
     if (socket < 0) {
-        return system_error("gossip socket");
+        return system_error("cannot create the gossip socket");
     }
     ::setsockopt(socket, SOL_SOCKET, SO_RCVBUF, &receive_buffer_bytes, sizeof receive_buffer_bytes);
     socklen_t length = sizeof *bound;
     auto* raw = reinterpret_cast<sockaddr*>(&*bound);
     if (::bind(socket, raw, length) != 0 || ::getsockname(socket, raw, &length) != 0) {
-        const auto error = system_error(absl::StrCat("bind of gossip port ", port));
+        const auto error = system_error(absl::StrCat("cannot bind gossip port ", port));
         ::close(socket);
         return error;
     }
-    const int wake = ::eventfd(0, EFD_CLOEXEC);
-    if (wake < 0) {
+    const int stop_event = ::eventfd(0, EFD_CLOEXEC);
+    if (stop_event < 0) {
         const auto error = system_error("eventfd");
         ::close(socket);
         return error;
     }
-    return std::unique_ptr<gossip_transport>{
-        new gossip_transport{socket, wake, ntohs(bound->sin_port), loop, std::move(on_datagram)}};
+    return std::unique_ptr<gossip_transport>{new gossip_transport{
+        socket, stop_event, ntohs(bound->sin_port), loop, std::move(on_datagram)}};
 }
 
-gossip_transport::gossip_transport(int socket, int wake, std::uint16_t port, control_loop& loop,
-                                   handler on_datagram)
-    : socket_{socket}, wake_{wake}, port_{port}, loop_{loop},
+gossip_transport::gossip_transport(int socket, int stop_event, std::uint16_t port,
+                                   control_loop& loop, handler on_datagram)
+    : socket_{socket}, stop_event_{stop_event}, port_{port}, loop_{loop},
       handler_{std::make_shared<const handler>(std::move(on_datagram))}, thread_{
                                                                              [this] { receive(); }}
 {
@@ -84,11 +84,11 @@
 gossip_transport::~gossip_transport()
 {
     const std::uint64_t one = 1;
-    if (::write(wake_, &one, sizeof one) < 0) {
-        log_event(log_level::error, "cannot wake the gossip receive thread");
+    if (::write(stop_event_, &one, sizeof one) < 0) {
+        log_event(log_level::error, "cannot stop the gossip receive thread");
     }
     thread_.join();
-    ::close(wake_);
+    ::close(stop_event_);
     ::close(socket_);
 }
 
@@ -109,7 +109,7 @@
 void gossip_transport::receive()
 {
     std::vector<char> buffer(max_datagram_bytes);
-    std::array<pollfd, 2> events{{{socket_, POLLIN, 0}, {wake_, POLLIN, 0}}};
+    std::array<pollfd, 2> events{{{socket_, POLLIN, 0}, {stop_event_, POLLIN, 0}}};
     while (true) {
         if (::poll(events.data(), events.size(), -1) < 0) {
             continue;
@@ -119,7 +119,7 @@
         }
         const auto received = ::recv(socket_, buffer.data(), buffer.size(), 0);
         if (received < 0) {
-            // Errors such as an unreachable port are reported once per datagram sent.
+            // An error of a sent datagram, such as an unreachable port, is reported once.
             continue;
         }
         ++packets_received_;
--- a/lib/membership/join_log.cpp
+++ b/lib/membership/join_log.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr const char* members_stream = "members";
-// Enough to find a live node after most of the recorded ones have been replaced.
+// Large enough to contain a live node after most of the recorded nodes have been replaced.
 constexpr std::uint32_t tail_records = 256;
-constexpr std::size_t enough_fresh_records = 3;
+constexpr std::size_t sufficient_fresh_records = 3;
 
 } // namespace
 
@@ -31,7 +31,7 @@
         const std::uint64_t tail = page->next > tail_records ? page->next - tail_records : 0;
         self->read_from(std::max(page->first, tail), std::move(finished));
     };
-    // One record is enough to learn the bounds of the stream.
+    // A page with one record contains the bounds of the stream.
     log_.read(members_stream, 0, 1,
               [&loop = loop_, on_page = std::move(on_page)](absl::StatusOr<log_page> page) mutable {
                   loop.post([on_page = std::move(on_page), page = std::move(page)]() mutable {
@@ -62,11 +62,11 @@
     tail_known_ = true;
     next_offset_ = std::max(next_offset_, page.first);
     const time_point now = ms_clock::now();
-    for (const log_record& entry : page.records) {
-        next_offset_ = std::max(next_offset_, entry.offset + 1);
-        if (auto node = decode_join_record(entry.payload)) {
+    for (const log_record& stored : page.records) {
+        next_offset_ = std::max(next_offset_, stored.offset + 1);
+        if (auto node = decode_join_record(stored.payload)) {
             const std::uint64_t instance = node->node.instance;
-            records_[instance] = {*std::move(node), now - entry.age};
+            records_[instance] = {*std::move(node), now - stored.age};
         }
     }
 }
@@ -90,7 +90,7 @@
 
 std::optional<std::size_t> join_log::sufficient_record_count() const
 {
-    return enough_fresh_records;
+    return sufficient_fresh_records;
 }
 
 } // namespace chestnutstand
--- a/lib/membership/keyed_directory.cpp
+++ b/lib/membership/keyed_directory.cpp
@@ -14,22 +14,22 @@
                                             absl::StatusOr<keyed_page> page) mutable {
         self->loop_.post([self, finished = std::move(finished), page = std::move(page)] {
             if (page.ok()) {
-                self->take(*page);
+                self->replace_records(*page);
             }
             finished(page.status());
         });
     });
 }
 
-void keyed_directory::take(const keyed_page& page)
+void keyed_directory::replace_records(const keyed_page& page)
 {
     records_.clear();
     const time_point now = ms_clock::now();
-    for (const auto& each : page.records) {
-        auto node = decode_join_record(each.value);
+    for (const auto& stored : page.records) {
+        auto node = decode_join_record(stored.value);
         if (!node) {
-            log_event(log_level::warning, "member record refused",
-                      {{"key", each.key}, {"offset", each.offset}});
+            log_event(log_level::warning, "member record in the store is not valid",
+                      {{"key", stored.key}, {"offset", stored.offset}});
             continue;
         }
         const std::uint64_t instance = node->node.instance;
@@ -48,7 +48,7 @@
                });
 }
 
-// The store keeps the newest record of each key, whatever its age.
+// The store keeps one record per node address, which bounds their number, and no age is known.
 void keyed_directory::purge(time_point /*now*/, milliseconds /*retention*/) {}
 
 std::optional<std::size_t> keyed_directory::sufficient_record_count() const
--- a/lib/membership/member_table.cpp
+++ b/lib/membership/member_table.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Finalizer of SplitMix64: spreads every input bit over the whole word.
+// Finalizer of SplitMix64: each input bit affects all output bits.
 std::uint64_t mix(std::uint64_t x)
 {
     x += 0x9e3779b97f4a7c15U;
@@ -36,15 +36,15 @@
         if (!supersedes(incoming, known.state)) {
             return false;
         }
-        unlink(known);
+        remove_from_live(known);
     }
     known.state = incoming;
     known.changed = now;
-    link(incoming.node.instance, known);
+    add_to_live(incoming.node.instance, known);
     return true;
 }
 
-void member_table::link(std::uint64_t instance, entry& added)
+void member_table::add_to_live(std::uint64_t instance, entry& added)
 {
     if (!is_live(added.state)) {
         return;
@@ -54,15 +54,15 @@
     digest_ ^= digest_of(added.state);
 }
 
-void member_table::unlink(const entry& removed)
+void member_table::remove_from_live(const entry& removed)
 {
     if (!is_live(removed.state)) {
         return;
     }
     digest_ ^= digest_of(removed.state);
-    const std::size_t hole = removed.live_index;
-    live_[hole] = live_.back();
-    entries_.at(live_[hole]).live_index = hole;
+    const std::size_t index = removed.live_index;
+    live_[index] = live_.back();
+    entries_.at(live_[index]).live_index = index;
     live_.pop_back();
 }
 
@@ -73,17 +73,17 @@
     });
 }
 
-std::vector<const member*> member_table::random_live(std::size_t count, std::uint64_t except,
+std::vector<const member*> member_table::random_live(std::size_t count, std::uint64_t excluded,
                                                      std::mt19937_64& random) const
 {
     std::vector<std::uint64_t> chosen;
-    const auto is_taken = [&](std::uint64_t instance) {
-        return instance == except ||
+    const auto is_excluded = [&](std::uint64_t instance) {
+        return instance == excluded ||
                std::find(chosen.begin(), chosen.end(), instance) != chosen.end();
     };
     if (live_.size() <= count + 1) {
         std::copy_if(live_.begin(), live_.end(), std::back_inserter(chosen),
-                     [&](std::uint64_t instance) { return instance != except; });
+                     [&](std::uint64_t instance) { return instance != excluded; });
         std::shuffle(chosen.begin(), chosen.end(), random);
         chosen.resize(std::min(chosen.size(), count));
     }
@@ -91,7 +91,7 @@
         std::uniform_int_distribution<std::size_t> index{0, live_.size() - 1};
         while (chosen.size() < count) {
             const std::uint64_t instance = live_[index(random)];
-            if (!is_taken(instance)) {
+            if (!is_excluded(instance)) {
                 chosen.push_back(instance);
             }
         }
--- a/lib/membership/membership.cpp
+++ b/lib/membership/membership.cpp
@@ -16,10 +16,12 @@
 
 // Short compared with the direct probe timeout.
 constexpr milliseconds tick_period{50};
-// Rebuilding the routing table of 7,400 members takes milliseconds; bursts of changes share one.
+// Rebuilding the routing table of 7,400 members takes milliseconds; changes within the interval
+// share one rebuild.
 constexpr milliseconds publish_interval{100};
 constexpr milliseconds sync_timeout{2'000};
-// Spreads the appends of nodes that start together; those that come later find enough records.
+// Spreads the appends of nodes that start at the same time, so that the later ones find enough
+// records and append none.
 constexpr milliseconds append_jitter{1'000};
 
 std::uint64_t total_bytes(const std::vector<std::string>& items)
@@ -98,7 +100,8 @@
             {{"sender", absl::StrCat(absl::Hex(sender.instance))}, {"address", sender.address}});
     }
     if (output.resumed) {
-        log_event(log_level::warning, "resumed after a pause longer than the suspicion time");
+        log_event(log_level::warning,
+                  "node resumed after a pause longer than the suspicion timeout");
         if (resume_callback_) {
             resume_callback_();
         }
@@ -127,25 +130,25 @@
 }
 
 void membership::impl::log_routing_changes(const routing_table& before,
-                                           const routing_table& now) const
+                                           const routing_table& after) const
 {
-    const auto log = [this](std::string_view message, const member& of) {
-        const member* known = protocol_->table().find(of.node.instance);
-        const member& believed = known != nullptr ? *known : protocol_->self();
+    const auto log = [this](std::string_view message, const member& routed) {
+        const member* known = protocol_->table().find(routed.node.instance);
+        const member& current = known != nullptr ? *known : protocol_->self();
         log_event(log_level::info, message,
-                  {{"member", absl::StrCat(absl::Hex(of.node.instance))},
-                   {"address", of.node.address},
-                   {"service", of.service},
-                   {"state", std::string{liveness_names.name(believed.state)}},
-                   {"draining", believed.draining},
-                   {"incarnation", believed.incarnation}});
+                  {{"member", absl::StrCat(absl::Hex(routed.node.instance))},
+                   {"address", routed.node.address},
+                   {"service", routed.service},
+                   {"state", std::string{liveness_names.name(current.state)}},
+                   {"draining", current.draining},
+                   {"incarnation", current.incarnation}});
     };
-    const auto changes = compare_routes(before, now);
-    for (const member& each : changes.added) {
-        log("member gets calls", each);
+    const auto changes = compare_routes(before, after);
+    for (const member& added : changes.added) {
+        log("member gets calls", added);
     }
-    for (const member& each : changes.removed) {
-        log("member gets no calls", each);
+    for (const member& removed : changes.removed) {
+        log("member gets no calls", removed);
     }
 }
 
@@ -184,17 +187,17 @@
     flush();
 }
 
-void membership::impl::handle_sync(const std::vector<std::string>& theirs,
+void membership::impl::handle_sync(const std::vector<std::string>& request,
                                    const peer_client::members_done& reply)
 {
     if (!protocol_) {
         reply(absl::UnavailableError("membership has not started"));
         return;
     }
-    sync_bytes_received_ += total_bytes(theirs);
-    auto ours = protocol_->handle_sync(theirs, ms_clock::now());
-    sync_bytes_sent_ += total_bytes(ours);
-    reply(std::move(ours));
+    sync_bytes_received_ += total_bytes(request);
+    auto response = protocol_->handle_sync(request, ms_clock::now());
+    sync_bytes_sent_ += total_bytes(response);
+    reply(std::move(response));
     flush();
 }
 
@@ -268,10 +271,10 @@
     return impl_->protocol_ ? ms_clock::now() - impl_->protocol_->last_heard() : milliseconds{0};
 }
 
-void membership::handle_sync(const std::vector<std::string>& theirs,
+void membership::handle_sync(const std::vector<std::string>& request,
                              const peer_client::members_done& reply)
 {
-    impl_->handle_sync(theirs, reply);
+    impl_->handle_sync(request, reply);
 }
 
 void membership::set_config_next_offset(std::uint64_t next)
--- a/lib/membership/membership_impl.h
+++ b/lib/membership/membership_impl.h
@@ -11,11 +11,10 @@
 
 namespace chestnutstand {
 
-/// First pause between two looks at the member directory.
+/// Initial interval between join attempts.
 inline constexpr milliseconds initial_join_interval{250};
 
-/// State and work of one membership object, kept alive by its own callbacks. Runs on the control
-/// thread.
+/// Implementation of membership. Runs on the control thread; its callbacks hold weak references.
 class membership::impl : public std::enable_shared_from_this<membership::impl> {
 public:
     impl(membership_options options, control_loop& loop,
@@ -29,11 +28,11 @@
     absl::Status start();
     void flush();
     void leave();
-    void handle_sync(const std::vector<std::string>& theirs,
+    void handle_sync(const std::vector<std::string>& request,
                      const peer_client::members_done& reply);
     gossip_traffic traffic() const;
 
-    /// Null until start has succeeded.
+    /// Empty until the start has run on the control thread.
     std::optional<swim> protocol_;
     std::unique_ptr<gossip_transport> transport_;
     snapshot<routing_table> table_;
@@ -41,7 +40,7 @@
     std::function<void()> resume_callback_;
 
 private:
-    /// Wraps a task so that it does nothing once the membership object is gone.
+    /// Wraps a task so that it does nothing after the membership object has been destroyed.
     template <typename Task>
     auto guarded(Task task)
     {
@@ -54,17 +53,18 @@
 
     void tick();
     void publish(time_point now);
-    void log_routing_changes(const routing_table& before, const routing_table& now) const;
+    void log_routing_changes(const routing_table& before, const routing_table& after) const;
     void start_sync(const node_reference& peer);
     void finish_sync(const node_reference& peer,
                      const absl::StatusOr<std::vector<std::string>>& reply);
 
-    // Joining.
+    // Joining. In each round the node contacts seeds or starts a push-pull exchange, ensures that
+    // the member directory has enough records, and reads the directory.
     void join_round();
     void read_directory();
-    bool settled() const { return synced_ && append_complete_ && read_after_append_; }
+    bool is_join_complete() const { return synced_ && append_complete_ && read_after_append_; }
     void schedule_join_round();
-    void on_join_timer(bool was_settled);
+    void on_join_timer(bool was_join_complete);
     void on_join_records(const absl::Status& status);
     void contact_recorded(std::size_t limit);
     void append_when_needed(time_point now);
@@ -78,16 +78,19 @@
     std::mt19937_64 random_;
     time_point last_publish_;
     bool publish_due_ = true;
+    /// Whether a push-pull exchange has succeeded.
     bool synced_ = false;
     bool sync_running_ = false;
     bool directory_reachable_ = true;
     milliseconds join_interval_ = initial_join_interval;
+    /// Random time after the start, which spreads the appends of nodes that start together.
     time_point earliest_append_;
-    /// Set while this node renews the records of its data centre.
+    /// Whether this node is renewing its record on behalf of its data centre.
     bool refreshing_ = false;
-    /// Whether the own join record exists or is not needed.
+    /// Whether this node's record has been appended or is not needed.
     bool append_complete_ = false;
-    /// Whether the stream was read after that; a node that started at the same time shows up then.
+    /// Whether the directory was read after that. Only then are the records of nodes that started
+    /// at the same time certain to be found.
     bool read_after_append_ = false;
     std::atomic<std::uint64_t> sync_bytes_sent_{0};
     std::atomic<std::uint64_t> sync_bytes_received_{0};
--- a/lib/membership/membership_join.cpp
+++ b/lib/membership/membership_join.cpp
@@ -1,4 +1,5 @@
-// How a node finds the others and keeps its record in the member directory.
+// Discovery of other members through seeds and the member directory, and maintenance of this node's
+// directory record.
 
 #include "membership_impl.h"
 
@@ -10,12 +11,13 @@
 namespace chestnutstand {
 namespace {
 
-constexpr milliseconds longest_join_interval{1'500};
-// A member of the cluster can wait for the log; 7,400 of them must not load it while it recovers.
-constexpr milliseconds longest_joined_interval{120'000};
+constexpr milliseconds max_join_interval{1'500};
+// A node that has reached the cluster does not need the log soon, and retries of 7,400 nodes must
+// not overload a log that is recovering.
+constexpr milliseconds max_join_interval_after_sync{120'000};
 constexpr double join_backoff = 1.5;
 constexpr milliseconds refresh_interval{300'000};
-// Two refresh periods: a record is stale once a refresh has been missed.
+// Two refresh periods, so that a record is stale once a refresh has been missed.
 constexpr milliseconds record_freshness{600'000};
 constexpr std::size_t refreshers_per_data_centre = 2;
 constexpr std::size_t contacts_per_round = 3;
@@ -39,7 +41,7 @@
     }
     flush();
     if (!live.empty() && append_complete_ && read_after_append_) {
-        // Only the exchange with a peer is missing.
+        // Only the push-pull exchange is still to come.
         schedule_join_round();
         return;
     }
@@ -47,7 +49,8 @@
         read_directory();
         return;
     }
-    // Of two nodes that start together, the one that adds its record later reads both.
+    // Append before reading: of two nodes that start together, the later one then reads both
+    // records.
     directory_->append(options_.self, guarded([](impl& self, const absl::Status& status) {
                            self.append_complete_ = self.append_complete_ || status.ok();
                            self.refreshing_ = self.refreshing_ && !status.ok();
@@ -83,38 +86,38 @@
 
 void membership::impl::schedule_join_round()
 {
-    const bool was_settled = settled();
+    const bool was_join_complete = is_join_complete();
     milliseconds delay = join_interval_;
-    if (was_settled) {
+    if (was_join_complete) {
         join_interval_ = initial_join_interval;
         std::uniform_real_distribution<double> jitter{0.9, 1.1};
         delay = refresh_interval * jitter(random_);
     }
     else {
         join_interval_ = std::min(join_interval_ * join_backoff,
-                                  synced_ ? longest_joined_interval : longest_join_interval);
+                                  synced_ ? max_join_interval_after_sync : max_join_interval);
     }
-    loop_.post_after(delay,
-                     guarded([was_settled](impl& self) { self.on_join_timer(was_settled); }));
+    loop_.post_after(
+        delay, guarded([was_join_complete](impl& self) { self.on_join_timer(was_join_complete); }));
 }
 
-void membership::impl::on_join_timer(bool was_settled)
+void membership::impl::on_join_timer(bool was_join_complete)
 {
-    const bool alone = protocol_->table().live().empty();
-    const bool settled_meanwhile = !was_settled && settled();
-    const bool others_refresh = was_settled && !is_refresher();
-    if (!alone && (settled_meanwhile || others_refresh)) {
+    const bool isolated = protocol_->table().live().empty();
+    const bool completed_meanwhile = !was_join_complete && is_join_complete();
+    const bool others_refresh = was_join_complete && !is_refresher();
+    if (!isolated && (completed_meanwhile || others_refresh)) {
         schedule_join_round();
         return;
     }
-    if (!alone && was_settled) {
+    if (!isolated && was_join_complete) {
         append_complete_ = false;
         refreshing_ = true;
     }
     join_round();
 }
 
-/// Pings recorded nodes that are not known here.
+/// Pings nodes of the directory that are not known as members.
 void membership::impl::contact_recorded(std::size_t limit)
 {
     std::vector<const member*> unknown;
@@ -166,17 +169,18 @@
 
 bool membership::impl::is_refresher() const
 {
-    const std::uint64_t own = member_table::digest_of(options_.self);
-    std::size_t lower = 0;
+    const std::uint64_t own_digest = member_table::digest_of(options_.self);
+    std::size_t members_before = 0;
     for (const std::uint64_t instance : protocol_->table().live()) {
+        // Each node computes the same order if all digests use the same incarnation.
         member other = *protocol_->table().find(instance);
         other.incarnation = options_.self.incarnation;
         if (other.data_centre == options_.self.data_centre &&
-            member_table::digest_of(other) < own) {
-            ++lower;
+            member_table::digest_of(other) < own_digest) {
+            ++members_before;
         }
     }
-    return lower < refreshers_per_data_centre;
+    return members_before < refreshers_per_data_centre;
 }
 
 } // namespace chestnutstand
--- a/lib/membership/swim.cpp
+++ b/lib/membership/swim.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Most updates that can fit into one packet.
+// Upper bound of the updates that fit into one packet.
 constexpr std::size_t max_updates_per_packet = 40;
 
 bool same_socket(const member& a, const member& b)
@@ -21,10 +21,10 @@
     if (!is_live(after)) {
         return before != nullptr && is_live(*before);
     }
-    const bool drains = after.draining && (before == nullptr || !before->draining);
+    const bool starts_draining = after.draining && (before == nullptr || !before->draining);
     const bool refutes =
         after.state == liveness::alive && before != nullptr && before->state != liveness::alive;
-    return drains || refutes;
+    return starts_draining || refutes;
 }
 
 } // namespace
@@ -92,15 +92,15 @@
 void swim::on_ack(const gossip_message& message, time_point now)
 {
     const std::uint64_t sender = message.sender.node.instance;
-    const std::uint64_t vouched = message.target ? message.target->node.instance : sender;
-    std::erase_if(probes_, [&](const probe& running) {
-        return running.sequence == message.sequence && running.target == vouched;
+    const std::uint64_t acked_instance = message.target ? message.target->node.instance : sender;
+    std::erase_if(probes_, [&](const probe& pending) {
+        return pending.sequence == message.sequence && pending.target == acked_instance;
     });
     if (message.target) {
         apply(*message.target, claim_source::gossip, now);
     }
     else if (message.target_instance != 0 && message.target_instance != sender) {
-        // Another process answers at the address of the member that was pinged.
+        // Another process has the address of the member that was pinged.
         declare_replaced_members_dead(message.sender, now);
     }
     const auto found = relays_.find(message.sequence);
@@ -137,15 +137,15 @@
     const member* known = table_.find(incoming.node.instance);
     const bool from_sync = source == claim_source::sync || source == claim_source::bulk_sync;
     if (known == nullptr) {
-        // Peers forget dead members at different times; a forgotten one must not come back.
+        // Peers purge dead members at different times; a purged one must not be added again.
         if (is_live(incoming) || !from_sync) {
-            adopt(incoming, source, now);
+            accept(incoming, source, now);
         }
         return;
     }
     if (from_sync && known->state == liveness::dead && is_live(incoming) &&
         incoming.incarnation <= known->incarnation) {
-        // A peer reaches a member that is dead here, as after a partition.
+        // A peer reaches a member that this node considers dead, as after a partition.
         verify_later(*known);
         return;
     }
@@ -153,12 +153,12 @@
         return;
     }
     if (incoming.state == liveness::dead && known->state == liveness::alive) {
-        // A death without a suspicion may come from the other side of a partition. The member is
-        // probed with the claim, so that it can refute.
+        // A death without a preceding suspicion may come from the other side of a partition. The
+        // member is sent the claim in a probe, so that it can refute it.
         verify_later(incoming);
         return;
     }
-    adopt(incoming, source, now);
+    accept(incoming, source, now);
 }
 
 void swim::apply_to_self(const member& incoming)
@@ -173,7 +173,7 @@
     announce_self(true);
 }
 
-void swim::adopt(const member& incoming, claim_source source, time_point now)
+void swim::accept(const member& incoming, claim_source source, time_point now)
 {
     const std::uint64_t instance = incoming.node.instance;
     const member* known = table_.find(instance);
@@ -190,7 +190,7 @@
         table_changed_ = now;
     }
     if (incoming.state == liveness::suspect) {
-        suspicions_.try_emplace(instance, suspicion{now, now + options_.suspicion});
+        suspicions_.try_emplace(instance, suspicion{now, now + options_.suspicion_timeout});
     }
     else {
         suspicions_.erase(instance);
@@ -216,7 +216,7 @@
     }
     member changed = *known;
     changed.state = state;
-    adopt(changed, claim_source::gossip, now);
+    accept(changed, claim_source::gossip, now);
 }
 
 void swim::declare_replaced_members_dead(const member& sender, time_point now)
@@ -225,13 +225,13 @@
     if (current == nullptr || !is_live(*current)) {
         return;
     }
-    std::vector<std::uint64_t> displaced;
+    std::vector<std::uint64_t> replaced;
     for (const std::uint64_t instance : table_.live()) {
         if (instance != sender.node.instance && same_socket(*table_.find(instance), sender)) {
-            displaced.push_back(instance);
+            replaced.push_back(instance);
         }
     }
-    for (const std::uint64_t instance : displaced) {
+    for (const std::uint64_t instance : replaced) {
         declare(instance, liveness::dead, now);
     }
 }
@@ -251,7 +251,7 @@
 
 void swim::verify_later(const member& claim)
 {
-    const auto [entry, inserted] = verify_.insert_or_assign(claim.node.instance, claim);
+    const auto [entry, inserted] = unverified_claims_.insert_or_assign(claim.node.instance, claim);
     if (inserted) {
         verify_order_.push_back(entry->first);
     }
@@ -287,9 +287,9 @@
     ++self_.incarnation;
     for (const member* peer :
          table_.random_live(options_.push_fan_out, self_.node.instance, random_)) {
-        gossip_message farewell;
-        farewell.kind = gossip_kind::push;
-        send(std::move(farewell), peer->node.address, peer->gossip_port, peer->node.instance);
+        gossip_message leave_message;
+        leave_message.kind = gossip_kind::push;
+        send(std::move(leave_message), peer->node.address, peer->gossip_port, peer->node.instance);
     }
     output_.members_changed = true;
 }
@@ -307,8 +307,6 @@
     }
 }
 
-/// Members of the own data centre, as what a hint announces is fetched from its sender, and one
-/// from anywhere, for data centres in which no node reads the source.
 std::vector<const member*> swim::hint_targets()
 {
     std::vector<const member*> near;
@@ -330,10 +328,10 @@
 
 void swim::contact(const std::string& address, std::uint16_t port)
 {
-    gossip_message hello;
-    hello.kind = gossip_kind::ping;
-    hello.sequence = ++last_sequence_;
-    send(std::move(hello), address, port, 0);
+    gossip_message message;
+    message.kind = gossip_kind::ping;
+    message.sequence = ++last_sequence_;
+    send(std::move(message), address, port, 0);
 }
 
 void swim::ping(const member& target, std::uint64_t sequence)
@@ -359,33 +357,37 @@
 void swim::add_updates(gossip_message& message, std::uint64_t to_instance)
 {
     std::size_t size = encode(message).size();
-    // A member that is not alive here learns it at first hand and can refute at once.
-    const auto claim = verify_.find(to_instance);
-    const member* receiver = claim == verify_.end() ? table_.find(to_instance) : &claim->second;
+    // Tell the receiver that this node does not consider it alive, so that it can refute it.
+    const auto claim = unverified_claims_.find(to_instance);
+    const member* receiver =
+        claim == unverified_claims_.end() ? table_.find(to_instance) : &claim->second;
     if (receiver != nullptr && receiver->state != liveness::alive) {
         size += encoded_size(*receiver);
         message.updates.push_back(*receiver);
     }
     const bool remote = receiver != nullptr && receiver->data_centre != self_.data_centre;
-    const bool many = queue_.size() > options_.update_backlog_threshold;
-    const std::size_t recent = remote && many ? options_.remote_transmissions : transmit_limit();
-    queue_.take(transmit_limit(), max_updates_per_packet, recent, [&](std::uint64_t instance) {
-        const member* update = table_.find(instance);
-        if (update == nullptr) {
-            // Own state: every message carries that of its sender. Otherwise a forgotten member.
-            return true;
-        }
-        if (instance == to_instance) {
-            return false;
-        }
-        const std::size_t added = encoded_size(*update);
-        if (size + added > options_.packet_limit) {
-            return false;
-        }
-        size += added;
-        message.updates.push_back(*update);
-        return true;
-    });
+    const bool has_backlog = queue_.size() > options_.update_backlog_threshold;
+    const std::size_t non_urgent_limit =
+        remote && has_backlog ? options_.remote_transmissions : transmit_limit();
+    queue_.send_next(transmit_limit(), max_updates_per_packet, non_urgent_limit,
+                     [&](std::uint64_t instance) {
+                         const member* update = table_.find(instance);
+                         if (update == nullptr) {
+                             // Either this node, whose state every message carries as its sender,
+                             // or a purged member.
+                             return true;
+                         }
+                         if (instance == to_instance) {
+                             return false;
+                         }
+                         const std::size_t added = encoded_size(*update);
+                         if (size + added > options_.packet_limit) {
+                             return false;
+                         }
+                         size += added;
+                         message.updates.push_back(*update);
+                         return true;
+                     });
 }
 
 std::size_t swim::transmit_limit() const
--- a/lib/membership/swim_sync.cpp
+++ b/lib/membership/swim_sync.cpp
@@ -9,9 +9,9 @@
 
 constexpr std::size_t members_per_bucket = 16;
 constexpr std::size_t max_buckets = 4'096;
-// Exchanges with more members than this are not passed on by gossip: the others learn them by
-// exchanges of their own, and the queue stays free for news.
-constexpr std::size_t bulk_size = 32;
+// Members of larger exchanges are not disseminated by gossip: other nodes receive them in their own
+// exchanges, and the queue stays free for new updates.
+constexpr std::size_t bulk_sync_members = 32;
 
 std::size_t total_bytes(const std::vector<std::string>& items)
 {
@@ -31,8 +31,8 @@
 
 void swim::compare_digests(const gossip_message& message, time_point now)
 {
-    const std::uint64_t own = stable_digest();
-    if (own != 0 && message.table_digest != 0 && own != message.table_digest) {
+    const std::uint64_t own_digest = stable_digest();
+    if (own_digest != 0 && message.table_digest != 0 && own_digest != message.table_digest) {
         request_sync(message.sender.node, now);
     }
 }
@@ -68,23 +68,23 @@
 
 std::vector<std::string> swim::handle_sync(const std::vector<std::string>& items, time_point now)
 {
-    const sync_content theirs = decode_sync(items);
-    if (theirs.cluster != options_.cluster) {
+    const sync_content received = decode_sync(items);
+    if (received.cluster != options_.cluster) {
         return {};
     }
     const auto source =
-        theirs.members.size() > bulk_size ? claim_source::bulk_sync : claim_source::sync;
-    for (const member& state : theirs.members) {
+        received.members.size() > bulk_sync_members ? claim_source::bulk_sync : claim_source::sync;
+    for (const member& state : received.members) {
         apply(state, source, now);
     }
-    if (theirs.digests.empty() || theirs.digests.size() > max_buckets) {
+    if (received.digests.empty() || received.digests.size() > max_buckets) {
         return {};
     }
-    const std::size_t count = theirs.digests.size();
+    const std::size_t count = received.digests.size();
     sync_content reply{{}, bucket_digests(count), options_.cluster};
     for (const member& state : members()) {
         const std::size_t bucket = state.node.instance % count;
-        if (theirs.digests[bucket] != reply.digests[bucket]) {
+        if (received.digests[bucket] != reply.digests[bucket]) {
             reply.members.push_back(state);
         }
     }
@@ -93,31 +93,31 @@
 
 std::vector<std::string> swim::finish_sync(const std::vector<std::string>& reply, time_point now)
 {
-    const sync_content theirs = decode_sync(reply);
-    if (theirs.cluster != options_.cluster || theirs.digests.empty() ||
-        theirs.digests.size() > max_buckets) {
+    const sync_content received = decode_sync(reply);
+    if (received.cluster != options_.cluster || received.digests.empty() ||
+        received.digests.size() > max_buckets) {
         return {};
     }
-    const std::size_t count = theirs.digests.size();
-    const auto own = bucket_digests(count);
-    std::unordered_map<std::uint64_t, const member*> received;
-    for (const member& state : theirs.members) {
-        received.emplace(state.node.instance, &state);
+    const std::size_t count = received.digests.size();
+    const auto own_digests = bucket_digests(count);
+    std::unordered_map<std::uint64_t, const member*> received_states;
+    for (const member& state : received.members) {
+        received_states.emplace(state.node.instance, &state);
     }
     sync_content missing;
     missing.cluster = options_.cluster;
     for (const member& state : members()) {
-        const auto found = received.find(state.node.instance);
-        const bool lacks =
-            found == received.end() ? is_live(state) : supersedes(state, *found->second);
-        if (lacks &&
-            own[state.node.instance % count] != theirs.digests[state.node.instance % count]) {
+        const auto found = received_states.find(state.node.instance);
+        const bool is_missing_at_peer =
+            found == received_states.end() ? is_live(state) : supersedes(state, *found->second);
+        if (is_missing_at_peer && own_digests[state.node.instance % count] !=
+                                      received.digests[state.node.instance % count]) {
             missing.members.push_back(state);
         }
     }
     const auto source =
-        theirs.members.size() > bulk_size ? claim_source::bulk_sync : claim_source::sync;
-    for (const member& state : theirs.members) {
+        received.members.size() > bulk_sync_members ? claim_source::bulk_sync : claim_source::sync;
+    for (const member& state : received.members) {
         apply(state, source, now);
     }
     auto second = encode(missing);
--- a/lib/membership/swim_timers.cpp
+++ b/lib/membership/swim_timers.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-// Shorter gaps between calls are normal scheduling.
+// Shorter gaps between calls are scheduling delays.
 constexpr milliseconds tolerated_gap{250};
 constexpr milliseconds purge_interval{60'000};
-// Suspects that one node probes again in the same period.
+// Number of suspects that a node probes again in each period.
 constexpr std::size_t max_reprobes = 5;
 
 } // namespace
@@ -36,7 +36,6 @@
     }
 }
 
-/// Time in which this node did not run says nothing about other members: deadlines move by it.
 void swim::detect_pause(time_point now)
 {
     const milliseconds gap = now - std::exchange(last_run_, std::max(now, last_run_));
@@ -44,7 +43,7 @@
         return;
     }
     shift_deadlines(gap);
-    if (gap <= options_.suspicion) {
+    if (gap <= options_.suspicion_timeout) {
         return;
     }
     ++self_.incarnation;
@@ -57,13 +56,13 @@
 
 void swim::shift_deadlines(milliseconds gap)
 {
-    for (probe& running : probes_) {
-        running.direct_deadline += gap;
-        running.deadline += gap;
+    for (probe& pending : probes_) {
+        pending.direct_deadline += gap;
+        pending.deadline += gap;
     }
-    for (auto& [instance, running] : suspicions_) {
-        running.started += gap;
-        running.deadline += gap;
+    for (auto& [instance, pending] : suspicions_) {
+        pending.started += gap;
+        pending.deadline += gap;
     }
 }
 
@@ -76,8 +75,8 @@
         start_probe(target, now);
     }
     std::size_t reprobes = 0;
-    for (const auto& [instance, running] : suspicions_) {
-        if (running.own && reprobes < max_reprobes) {
+    for (const auto& [instance, pending] : suspicions_) {
+        if (pending.from_own_probe && reprobes < max_reprobes) {
             ++reprobes;
             start_probe(instance, now);
         }
@@ -103,9 +102,9 @@
 
 void swim::start_probe(std::uint64_t target, time_point now)
 {
-    const bool running = std::any_of(probes_.begin(), probes_.end(),
-                                     [&](const probe& other) { return other.target == target; });
-    if (running) {
+    const bool is_probed = std::any_of(probes_.begin(), probes_.end(),
+                                       [&](const probe& other) { return other.target == target; });
+    if (is_probed) {
         return;
     }
     const std::uint64_t sequence = ++last_sequence_;
@@ -117,51 +116,51 @@
 void swim::advance_probes(time_point now)
 {
     std::vector<std::uint64_t> failed;
-    for (probe& running : probes_) {
-        if (now >= running.deadline) {
-            failed.push_back(running.target);
+    for (probe& pending : probes_) {
+        if (now >= pending.deadline) {
+            failed.push_back(pending.target);
         }
-        else if (!running.indirect && now >= running.direct_deadline) {
-            request_indirect_probes(running);
+        else if (!pending.indirect && now >= pending.direct_deadline) {
+            request_indirect_probes(pending);
         }
     }
-    std::erase_if(probes_, [&](const probe& running) { return now >= running.deadline; });
+    std::erase_if(probes_, [&](const probe& pending) { return now >= pending.deadline; });
     for (const std::uint64_t target : failed) {
         declare(target, liveness::suspect, now);
         const auto found = suspicions_.find(target);
-        if (found != suspicions_.end() && !found->second.own) {
-            found->second.own = true;
+        if (found != suspicions_.end() && !found->second.from_own_probe) {
+            found->second.from_own_probe = true;
             ++counters_.suspicions_raised;
         }
     }
 }
 
-void swim::request_indirect_probes(probe& running)
+void swim::request_indirect_probes(probe& pending)
 {
-    running.indirect = true;
-    const member* target = table_.find(running.target);
+    pending.indirect = true;
+    const member* target = table_.find(pending.target);
     if (target == nullptr) {
         return;
     }
-    for (const member* helper :
-         table_.random_live(options_.indirect_probes, running.target, random_)) {
+    for (const member* peer :
+         table_.random_live(options_.indirect_probes, pending.target, random_)) {
         gossip_message request;
         request.kind = gossip_kind::ping_request;
-        request.sequence = running.sequence;
+        request.sequence = pending.sequence;
         request.target = *target;
-        send(std::move(request), helper->node.address, helper->gossip_port, helper->node.instance);
+        send(std::move(request), peer->node.address, peer->gossip_port, peer->node.instance);
     }
 }
 
 void swim::expire_suspicions(time_point now)
 {
     std::vector<std::uint64_t> expired;
-    for (auto& [instance, running] : suspicions_) {
-        if (now >= running.deadline) {
+    for (auto& [instance, pending] : suspicions_) {
+        if (now >= pending.deadline) {
             expired.push_back(instance);
         }
-        else if (running.routable && now - running.started >= options_.unroutable_after) {
-            running.routable = false;
+        else if (pending.routable && now - pending.started >= options_.unroutable_after) {
+            pending.routable = false;
             output_.members_changed = true;
         }
     }
@@ -188,12 +187,12 @@
         return;
     }
     next_verify_ = now + options_.verify_interval;
-    // In random order, so that nodes with the same claims check different ones first.
+    // In random order, so that nodes with the same claims start with different ones.
     std::uniform_int_distribution<std::size_t> index{0, verify_order_.size() - 1};
     std::swap(verify_order_[index(random_)], verify_order_.back());
     const std::uint64_t instance = verify_order_.back();
     verify_order_.pop_back();
-    const member claim = verify_.at(instance);
+    const member claim = unverified_claims_.at(instance);
     const member* known = table_.find(instance);
     if (known != nullptr && known->state == liveness::alive && supersedes(claim, *known)) {
         start_probe(instance, now);
@@ -201,7 +200,7 @@
     else if (known != nullptr && !is_live(*known) && !supersedes(*known, claim)) {
         ping(claim, ++last_sequence_);
     }
-    verify_.erase(instance);
+    unverified_claims_.erase(instance);
 }
 
 void swim::push_updates(time_point now)
--- a/lib/membership/update_queue.cpp
+++ b/lib/membership/update_queue.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Candidates looked at per message; more would not fit into a packet anyway.
+// Members offered per update that may be sent; more would not fit into a packet.
 constexpr std::size_t candidate_factor = 2;
 
 } // namespace
@@ -19,8 +19,9 @@
     queued = {0, ++next_order_, urgent || (queued.urgent && queued.sent == 0)};
 }
 
-void update_queue::take(std::size_t limit, std::size_t max_sent, std::size_t recent,
-                        const std::function<bool(std::uint64_t)>& visit)
+void update_queue::send_next(std::size_t transmit_limit, std::size_t max_sent,
+                             std::size_t non_urgent_limit,
+                             const std::function<bool(std::uint64_t)>& try_send)
 {
     struct candidate {
         bool not_urgent;
@@ -32,7 +33,7 @@
     std::vector<candidate> candidates;
     candidates.reserve(entries_.size());
     for (const auto& [instance, queued] : entries_) {
-        if (!queued.urgent && queued.sent >= recent) {
+        if (!queued.urgent && queued.sent >= non_urgent_limit) {
             continue;
         }
         candidates.push_back({!queued.urgent, queued.sent, next_order_ - queued.order, instance});
@@ -47,17 +48,17 @@
         if (sent == max_sent) {
             return;
         }
-        if (visit(next.instance)) {
+        if (try_send(next.instance)) {
             ++sent;
-            mark_sent(next.instance, limit);
+            mark_sent(next.instance, transmit_limit);
         }
     }
 }
 
-void update_queue::mark_sent(std::uint64_t instance, std::size_t limit)
+void update_queue::mark_sent(std::uint64_t instance, std::size_t transmit_limit)
 {
     const auto found = entries_.find(instance);
-    if (++found->second.sent >= limit) {
+    if (++found->second.sent >= transmit_limit) {
         entries_.erase(found);
     }
 }
