--- a/unittests/membership/gossip_network.cpp
+++ b/unittests/membership/gossip_network.cpp
@@ -10,12 +10,12 @@
 constexpr milliseconds convergence_step{10};
 constexpr milliseconds join_limit{120'000};
 
-std::uint16_t port_of(std::size_t slot)
+std::uint16_t port_of(std::size_t vm)
 {
-    return static_cast<std::uint16_t>(slot + 1);
+    return static_cast<std::uint16_t>(vm + 1);
 }
 
-std::size_t slot_of(std::uint16_t port)
+std::size_t vm_of(std::uint16_t port)
 {
     return port - std::size_t{1};
 }
@@ -29,9 +29,9 @@
 
 std::size_t gossip_network::add(const std::string& data_centre)
 {
-    slots_.emplace_back().data_centre = data_centre;
-    start(slots_.size() - 1);
-    return slots_.size() - 1;
+    vms_.emplace_back().data_centre = data_centre;
+    start(vms_.size() - 1);
+    return vms_.size() - 1;
 }
 
 void gossip_network::add_cluster(std::size_t count, const std::vector<std::string>& data_centres)
@@ -43,55 +43,55 @@
     run_until([this] { return is_converged(); }, join_limit);
 }
 
-void gossip_network::start(std::size_t slot)
+void gossip_network::start(std::size_t vm)
 {
     std::vector<std::size_t> running;
-    for (std::size_t i = 0; i < slots_.size(); ++i) {
-        if (i != slot && is_running(i)) {
+    for (std::size_t i = 0; i < vms_.size(); ++i) {
+        if (i != vm && is_running(i)) {
             running.push_back(i);
         }
     }
     member self;
-    self.node = {random_(), "10.0.0.1", port_of(slot)};
-    self.gossip_port = port_of(slot);
-    self.data_centre = slots_[slot].data_centre;
+    self.node = {random_(), "10.0.0.1", port_of(vm)};
+    self.gossip_port = port_of(vm);
+    self.data_centre = vms_[vm].data_centre;
     self.service = "ledger-view";
     self.slots = 10;
-    slot_state& state = slots_[slot];
+    vm_state& state = vms_[vm];
     state.node = std::make_unique<swim>(self, options_.protocol, random_(), now_);
     state.up = true;
     state.paused = false;
     state.inbox.clear();
     std::uniform_real_distribution<double> share{0.0, 1.0};
     schedule(options_.tick_period * share(random_),
-             [this, slot, process = state.node.get()] { tick(slot, process); });
+             [this, vm, process = state.node.get()] { tick(vm, process); });
     if (!running.empty()) {
         std::uniform_int_distribution<std::size_t> index{0, running.size() - 1};
-        sync(slot, running[index(random_)]);
+        sync(vm, running[index(random_)]);
     }
 }
 
-void gossip_network::restart(std::size_t slot)
+void gossip_network::restart(std::size_t vm)
 {
-    start(slot);
+    start(vm);
 }
 
-void gossip_network::restart_in_cluster(std::size_t slot, std::uint64_t cluster)
+void gossip_network::restart_in_cluster(std::size_t vm, std::uint64_t cluster)
 {
     const std::uint64_t own = std::exchange(options_.protocol.cluster, cluster);
-    start(slot);
+    start(vm);
     options_.protocol.cluster = own;
 }
 
-void gossip_network::resume(std::size_t slot)
+void gossip_network::resume(std::size_t vm)
 {
-    slot_state& state = slots_[slot];
+    vm_state& state = vms_[vm];
     state.paused = false;
-    // The timer was due before the datagrams that waited in the socket.
+    // A resumed process handles its overdue timer before the datagrams in its socket buffer.
     state.node->on_tick(now_);
-    flush(slot);
+    flush(vm);
     for (const std::string& payload : std::exchange(state.inbox, {})) {
-        deliver(slot, payload);
+        deliver(vm, payload);
     }
 }
 
@@ -126,22 +126,22 @@
     return now_ - begin;
 }
 
-void gossip_network::tick(std::size_t slot, const swim* process)
+void gossip_network::tick(std::size_t vm, const swim* process)
 {
-    slot_state& state = slots_[slot];
+    vm_state& state = vms_[vm];
     if (!state.up || state.node.get() != process) {
         return;
     }
     if (!state.paused) {
         state.node->on_tick(now_);
-        flush(slot);
+        flush(vm);
     }
-    schedule(options_.tick_period, [this, slot, process] { tick(slot, process); });
+    schedule(options_.tick_period, [this, vm, process] { tick(vm, process); });
 }
 
 void gossip_network::deliver(std::size_t to, const std::string& payload)
 {
-    slot_state& state = slots_[to];
+    vm_state& state = vms_[to];
     if (!state.up) {
         return;
     }
@@ -153,15 +153,15 @@
     flush(to);
 }
 
-void gossip_network::flush(std::size_t slot)
+void gossip_network::flush(std::size_t vm)
 {
-    const swim_output output = slots_[slot].node->take_output();
-    slots_[slot].resumed = slots_[slot].resumed || output.resumed;
+    const swim_output output = vms_[vm].node->take_output();
+    vms_[vm].resumed = vms_[vm].resumed || output.resumed;
     for (const datagram& out : output.datagrams) {
-        send(slot, out);
+        send(vm, out);
     }
     for (const node_reference& peer : output.sync_peers) {
-        sync(slot, slot_of(peer.node_port));
+        sync(vm, vm_of(peer.node_port));
     }
 }
 
@@ -169,8 +169,8 @@
 {
     datagram_bytes_ += out.payload.size() + udp_ip_header_bytes;
     largest_datagram_ = std::max(largest_datagram_, out.payload.size());
-    const std::size_t to = slot_of(out.port);
-    if (slots_[to].data_centre != slots_[from].data_centre) {
+    const std::size_t to = vm_of(out.port);
+    if (vms_[to].data_centre != vms_[from].data_centre) {
         remote_datagram_bytes_ += out.payload.size() + udp_ip_header_bytes;
     }
     std::bernoulli_distribution lost{options_.loss};
@@ -195,18 +195,18 @@
 
 void gossip_network::sync(std::size_t from, std::size_t to)
 {
-    const swim* process = slots_[from].node.get();
+    const swim* process = vms_[from].node.get();
     auto request = count_sync(process->sync_request());
     schedule(options_.latency * 2, [this, from, to, process, request = std::move(request)] {
-        if (!can_exchange(from, to) || slots_[from].node.get() != process) {
+        if (!can_exchange(from, to) || vms_[from].node.get() != process) {
             return;
         }
-        const auto reply = count_sync(slots_[to].node->handle_sync(request, now_));
+        const auto reply = count_sync(vms_[to].node->handle_sync(request, now_));
         flush(to);
-        const auto second = count_sync(slots_[from].node->finish_sync(reply, now_));
+        const auto second = count_sync(vms_[from].node->finish_sync(reply, now_));
         flush(from);
         if (!second.empty()) {
-            slots_[to].node->handle_sync(second, now_);
+            vms_[to].node->handle_sync(second, now_);
             flush(to);
         }
     });
@@ -215,9 +215,9 @@
 bool gossip_network::all_running(const std::function<bool(const swim&)>& predicate,
                                  const std::string& data_centre) const
 {
-    for (std::size_t i = 0; i < slots_.size(); ++i) {
-        if (is_running(i) && (data_centre.empty() || slots_[i].data_centre == data_centre) &&
-            !predicate(*slots_[i].node)) {
+    for (std::size_t i = 0; i < vms_.size(); ++i) {
+        if (is_running(i) && (data_centre.empty() || vms_[i].data_centre == data_centre) &&
+            !predicate(*vms_[i].node)) {
             return false;
         }
     }
@@ -227,7 +227,7 @@
 bool gossip_network::is_converged() const
 {
     std::vector<std::uint64_t> running;
-    for (std::size_t i = 0; i < slots_.size(); ++i) {
+    for (std::size_t i = 0; i < vms_.size(); ++i) {
         if (is_running(i)) {
             running.push_back(instance(i));
         }
@@ -244,14 +244,14 @@
 
 liveness gossip_network::state_at(std::size_t observer, std::uint64_t instance) const
 {
-    const member* known = slots_[observer].node->table().find(instance);
+    const member* known = vms_[observer].node->table().find(instance);
     return known == nullptr ? liveness::dead : known->state;
 }
 
 std::uint64_t gossip_network::deaths_declared() const
 {
     std::uint64_t total = 0;
-    for (const slot_state& state : slots_) {
+    for (const vm_state& state : vms_) {
         total += state.node->counters().deaths_declared;
     }
     return total;
@@ -260,7 +260,7 @@
 std::uint64_t gossip_network::suspicions_raised() const
 {
     std::uint64_t total = 0;
-    for (const slot_state& state : slots_) {
+    for (const vm_state& state : vms_) {
         total += state.node->counters().suspicions_raised;
     }
     return total;
--- a/unittests/membership/member_order_test.cpp
+++ b/unittests/membership/member_order_test.cpp
@@ -6,7 +6,7 @@
 namespace chestnutstand {
 namespace {
 
-// States of one member, with few distinct values so that ties are frequent.
+// Generates states of one member with few distinct values, so that ties are frequent.
 member arbitrary_state()
 {
     member state;
@@ -19,7 +19,7 @@
     return state;
 }
 
-bool same(const member& a, const member& b)
+bool is_same(const member& a, const member& b)
 {
     return a.node == b.node && a.incarnation == b.incarnation && a.state == b.state &&
            a.service == b.service && a.draining == b.draining && a.slots == b.slots;
@@ -33,13 +33,13 @@
         const member a = arbitrary_state();
         const member b = arbitrary_state();
         const member c = arbitrary_state();
-        RC_ASSERT(same(merge(a, a), a));
-        RC_ASSERT(same(merge(a, b), merge(b, a)));
-        RC_ASSERT(same(merge(merge(a, b), c), merge(a, merge(b, c))));
+        RC_ASSERT(is_same(merge(a, a), a));
+        RC_ASSERT(is_same(merge(a, b), merge(b, a)));
+        RC_ASSERT(is_same(merge(merge(a, b), c), merge(a, merge(b, c))));
     }));
 }
 
-// Guards against a live member that stays suspected although it has answered.
+// Guards against a member that stays suspect although it has refuted the suspicion.
 TEST(member_order, refutation_wins_over_earlier_suspicion)
 {
     EXPECT_TRUE(rc::check([] {
@@ -52,7 +52,7 @@
     }));
 }
 
-// Guards against delayed messages that bring a dead member back into the routing tables.
+// Guards against delayed messages that add a dead member to the routing tables again.
 TEST(member_order, dead_is_not_revived_without_higher_incarnation)
 {
     EXPECT_TRUE(rc::check([] {
--- a/unittests/membership/membership_test.cpp
+++ b/unittests/membership/membership_test.cpp
@@ -13,7 +13,7 @@
 namespace chestnutstand {
 namespace {
 
-/// Log service in memory that can be switched off.
+/// In-memory log service that can be made unavailable.
 class memory_log : public log_client {
 public:
     void append(const std::string& /*stream*/, std::string payload, append_done done) override
@@ -55,7 +55,7 @@
     bool down_ = false;
 };
 
-/// Keyed store in memory that counts its calls.
+/// In-memory keyed store that counts the calls to it.
 class memory_store final : public keyed_store {
 public:
     void put(store_topic /*topic*/, const std::string& key, std::string value,
@@ -106,7 +106,7 @@
     std::size_t calls_ = 0;
 };
 
-/// Hands push-pull exchanges to the membership objects of the same process.
+/// Peer client that delivers push-pull exchanges to membership objects in the same process.
 class local_peers : public peer_client {
 public:
     struct target {
@@ -170,7 +170,7 @@
     std::map<std::uint64_t, target> targets_;
 };
 
-/// A node with a control loop of its own.
+/// Node with its own control loop.
 struct test_node {
     test_node(std::uint64_t instance, log_client& log, local_peers& peers,
               std::vector<seed_address> seeds = {})
@@ -237,8 +237,8 @@
     return false;
 }
 
-// Guards against nodes that start together and never find each other through the log, and against
-// draining members that stay in the routing table.
+// Guards against nodes that start at the same time and do not find each other through the log, and
+// against draining members that stay in the routing table.
 TEST(membership, nodes_find_each_other_through_the_log_and_draining_leaves_the_table)
 {
     memory_log log;
@@ -246,19 +246,19 @@
     test_node a{1, log, peers};
     test_node b{2, log, peers};
     test_node c{3, log, peers};
-    for (test_node* each : {&a, &b, &c}) {
-        ASSERT_TRUE(each->node.start().ok());
-        each->run([&] { each->node.set_local_upstream("ledger-view", 10); });
+    for (test_node* started : {&a, &b, &c}) {
+        ASSERT_TRUE(started->node.start().ok());
+        started->run([&] { started->node.set_local_upstream("ledger-view", 10); });
     }
-    for (test_node* each : {&a, &b, &c}) {
-        EXPECT_TRUE(eventually([&] { return each->routable("ledger-view") == 3; }));
+    for (test_node* started : {&a, &b, &c}) {
+        EXPECT_TRUE(eventually([&] { return started->routable("ledger-view") == 3; }));
     }
     b.run([&] { b.node.set_draining(); });
     EXPECT_TRUE(eventually([&] { return a.routable("ledger-view") == 2; }));
     EXPECT_GT(a.node.traffic().packets_received, 0U);
 }
 
-// Guards against a cluster that cannot grow while the log is down.
+// Guards against nodes that cannot join while the log is unavailable although a seed is reachable.
 TEST(membership, node_joins_by_seed_while_the_log_is_down)
 {
     memory_log log;
@@ -277,7 +277,7 @@
     }));
 }
 
-// Guards against configuration news that stays with the node that read it.
+// Guards against configuration records of which only the node that read them is aware.
 TEST(membership, configuration_hints_reach_peers)
 {
     memory_log log;
@@ -300,25 +300,26 @@
     EXPECT_EQ(next.get(), 17U);
 }
 
-// Guards against nodes that ask the store again and again while they join.
+// Guards against nodes that call the store repeatedly while they join.
 TEST(membership, joins_through_a_keyed_store_with_two_calls)
 {
     memory_store store;
-    const std::string earlier_key = "127.0.0.1:9";
-    member earlier;
-    earlier.node = {77, "127.0.0.1", 9};
-    earlier.gossip_port = 9;
-    store.put(store_topic::members, earlier_key, encode_join_record(earlier), [](auto) {});
+    const std::string recorded_key = "127.0.0.1:9";
+    member recorded;
+    recorded.node = {77, "127.0.0.1", 9};
+    recorded.gossip_port = 9;
+    store.put(store_topic::members, recorded_key, encode_join_record(recorded), [](auto) {});
     local_peers peers;
     control_loop loop;
     membership node{test_node::options(1, {}), loop, std::make_shared<keyed_directory>(loop, store),
                     peers};
     ASSERT_TRUE(node.start().ok());
     EXPECT_TRUE(eventually([&] { return store.calls() >= 3; }));
-    std::promise<void> seen;
-    loop.post([&] { seen.set_value(); });
-    seen.get_future().wait();
-    EXPECT_EQ(store.calls(), 3U) << "one put of the test, one append and one read of the node";
+    std::promise<void> loop_idle;
+    loop.post([&] { loop_idle.set_value(); });
+    loop_idle.get_future().wait();
+    EXPECT_EQ(store.calls(), 3U)
+        << "expected one put by the test, one append and one read by the node";
     EXPECT_TRUE(store.holds("127.0.0.1:" + std::to_string(node.gossip_port())));
     loop.stop();
 }
--- a/unittests/membership/routing_changes_test.cpp
+++ b/unittests/membership/routing_changes_test.cpp
@@ -9,16 +9,16 @@
 {
     routing_table table;
     for (const std::uint64_t instance : instances) {
-        member each;
-        each.node.instance = instance;
-        each.service = "ledger";
-        table.by_service[each.service].push_back(each);
+        member added;
+        added.node.instance = instance;
+        added.service = "ledger";
+        table.by_service[added.service].push_back(added);
     }
     return table;
 }
 
-// Guards against a member whose entry or departure is missing in the logs.
-TEST(routing_changes, names_who_enters_and_who_leaves)
+// Guards against added or removed members that are missing in the logs.
+TEST(routing_changes, reports_added_and_removed_members)
 {
     const auto changes = compare_routes(table_of({1, 2}), table_of({2, 3}));
     ASSERT_EQ(changes.added.size(), 1U);
@@ -27,8 +27,8 @@
     EXPECT_EQ(changes.removed.front().node.instance, 1U);
 }
 
-// Guards against a member whose upstream is replaced by one of another service unnoticed.
-TEST(routing_changes, a_member_that_changes_its_service_leaves_and_enters)
+// Guards against a change of a member's service that is missing in the logs.
+TEST(routing_changes, service_change_is_a_removal_and_an_addition)
 {
     auto moved = table_of({1});
     moved.by_service["view"] = moved.by_service["ledger"];
--- a/unittests/membership/swim_test.cpp
+++ b/unittests/membership/swim_test.cpp
@@ -18,23 +18,23 @@
     });
 }
 
-// Guards against a killed node that stays in the tables, and against live members that are removed
-// along with it.
-TEST(swim, killed_member_is_declared_dead_and_nobody_else)
+// Guards against a killed node that stays live in the tables, and against live members that are
+// declared dead with it.
+TEST(swim, only_the_killed_member_is_declared_dead)
 {
     gossip_network network{{}};
     network.add_cluster(12, one_data_centre);
     ASSERT_TRUE(network.is_converged());
-    const std::uint64_t victim = network.instance(3);
+    const std::uint64_t killed = network.instance(3);
     network.kill(3);
-    network.run_until([&] { return all_see(network, victim, liveness::dead); }, 30 * second);
-    EXPECT_TRUE(all_see(network, victim, liveness::dead));
+    network.run_until([&] { return all_see(network, killed, liveness::dead); }, 30 * second);
+    EXPECT_TRUE(all_see(network, killed, liveness::dead));
     network.run_for(30 * second);
     EXPECT_TRUE(network.is_converged());
 }
 
-// Guards against a paused node that stays dead after it runs again, does not notice that it was
-// paused, or takes the others for dead.
+// Guards against a paused node that stays dead after it resumes, does not detect the pause, or
+// declares other members dead.
 TEST(swim, paused_member_refutes_its_death_on_resume)
 {
     gossip_network network{{}};
@@ -52,8 +52,8 @@
     EXPECT_EQ(network.deaths_declared(), deaths);
 }
 
-// Guards against a pause shorter than the suspicion time that ends in a death: the member has to
-// refute the suspicion.
+// Guards against a member that is declared dead after a pause shorter than the suspicion timeout,
+// because it does not refute the suspicion.
 TEST(swim, short_pause_ends_in_a_refutation)
 {
     gossip_network network{{}};
@@ -72,12 +72,11 @@
     EXPECT_GT(network.node(2).counters().refutations, 0U);
 }
 
-// Guards against a node that was held up for a moment and blames its peers for answers that it has
-// not read yet.
+// Guards against a node that, after a short pause, suspects peers whose acks it has not read yet.
 TEST(swim, short_pauses_raise_no_suspicion_of_others)
 {
     gossip_network_options options;
-    options.latency = milliseconds{100}; // A probe is in flight during a fifth of the time.
+    options.latency = milliseconds{100}; // A probe is in flight for a fifth of the time.
     gossip_network network{options};
     network.add_cluster(8, one_data_centre);
     for (int i = 0; i < 40; ++i) {
@@ -89,8 +88,8 @@
     EXPECT_EQ(network.node(2).counters().suspicions_raised, 0U);
 }
 
-// Guards against one bad link that removes a member which all others reach.
-TEST(swim, one_way_cut_between_two_members_kills_nobody)
+// Guards against one faulty link that removes a member which all others can reach.
+TEST(swim, one_way_cut_between_two_members_causes_no_deaths)
 {
     gossip_network network{{}};
     network.add_cluster(6, one_data_centre);
@@ -101,8 +100,8 @@
     EXPECT_TRUE(network.is_converged());
 }
 
-// Guards against false deaths where packets are lost at random.
-TEST(swim, packet_loss_kills_nobody)
+// Guards against live members that are declared dead under random packet loss.
+TEST(swim, packet_loss_causes_no_deaths)
 {
     gossip_network_options options;
     options.loss = 0.05;
@@ -113,9 +112,9 @@
     EXPECT_LE(network.largest_datagram(), swim_options{}.packet_limit);
 }
 
-// Guards against news of members that crosses data centres again and again, as each node passes all
-// of it on at random.
-TEST(swim, news_spreads_within_the_data_centre)
+// Guards against updates that cross data centres repeatedly because each node forwards all of them
+// to random members.
+TEST(swim, most_traffic_stays_within_the_data_centre)
 {
     gossip_network network{{}};
     network.add_cluster(80, {"howrah", "garia", "dum-dum", "salt-lake"});
@@ -123,12 +122,14 @@
     network.run_for(30 * second);
     EXPECT_TRUE(network.is_converged());
     EXPECT_EQ(network.deaths_declared(), 0U);
-    // With three of four members elsewhere, messages without news alone would be three quarters.
+    // Three of four members are in other data centres, so without updates three quarters of the
+    // bytes would be remote.
     EXPECT_LT(network.remote_datagram_bytes() * 2, network.datagram_bytes());
 }
 
-// Guards against documents that cross data centres although a member nearby has them.
-TEST(swim, hints_stay_in_the_data_centre_but_for_one)
+// Guards against documents that are fetched from another data centre although a member of the same
+// one has them.
+TEST(swim, at_most_one_hint_leaves_the_data_centre)
 {
     const time_point start{};
     swim_options options;
@@ -150,13 +151,13 @@
     ASSERT_GE(hints.size(), options.push_fan_out);
     ASSERT_LE(hints.size(), options.push_fan_out + 1);
     const auto far = std::count_if(hints.begin(), hints.end(),
-                                   [](const datagram& each) { return each.port % 2 == 1; });
+                                   [](const datagram& hint) { return hint.port % 2 == 1; });
     EXPECT_LE(far, 1);
 }
 
-// Guards against two clusters that become one when a node of the second gets the address of a dead
-// member of the first.
-TEST(swim, stays_apart_from_another_cluster_at_the_address_of_a_dead_member)
+// Guards against two clusters that merge when a node of one gets the address of a dead member of
+// the other.
+TEST(swim, ignores_another_cluster_at_the_address_of_a_dead_member)
 {
     gossip_network_options options;
     options.protocol.cluster = 1;
@@ -168,14 +169,14 @@
     network.restart_in_cluster(3, 2);
     network.run_for(60 * second);
     EXPECT_EQ(network.node(3).members().size(), 1U);
-    for (std::size_t slot = 0; slot < 3; ++slot) {
-        EXPECT_EQ(network.node(slot).table().find(network.instance(3)), nullptr);
-        EXPECT_EQ(network.node(slot).table().live().size(), 2U);
+    for (std::size_t vm = 0; vm < 3; ++vm) {
+        EXPECT_EQ(network.node(vm).table().find(network.instance(3)), nullptr);
+        EXPECT_EQ(network.node(vm).table().live().size(), 2U);
     }
 }
 
-// Guards against a node that takes itself for connected while it hears nothing.
-TEST(swim, tells_when_it_last_heard_of_a_member)
+// Guards against a node that considers itself connected although it receives no messages.
+TEST(swim, last_heard_is_the_time_of_the_last_message)
 {
     const time_point start{};
     member self;
@@ -192,7 +193,7 @@
 protected:
     partition_test() { network_.add_cluster(16, two_data_centres); }
 
-    /// Slots alternate between the data centres.
+    /// Separates the two data centres; the VMs alternate between them.
     void partition()
     {
         network_.set_cut([](std::size_t from, std::size_t to) { return (from + to) % 2 != 0; });
@@ -203,7 +204,7 @@
         return observer.table().live().size() == network_.size() / 2 - 1;
     }
 
-    bool sees_own_side_whole(const swim& observer) const
+    bool sees_own_side_complete(const swim& observer) const
     {
         std::size_t others = 0;
         for (const std::uint64_t instance : observer.table().live()) {
@@ -217,25 +218,25 @@
     gossip_network network_{{}};
 };
 
-// Guards against data centres that stay apart after a partition, and against members that are
-// declared dead in their own data centre because the other side believed so.
+// Guards against data centres that stay separated after a partition has ended, and against members
+// that are declared dead in their own data centre because the other side considered them dead.
 TEST_F(partition_test, both_sides_rejoin_without_new_deaths)
 {
     partition();
     network_.run_for(120 * second);
-    ASSERT_TRUE(network_.all_running([&](const swim& each) { return sees_other_side_dead(each); }));
+    ASSERT_TRUE(network_.all_running([&](const swim& node) { return sees_other_side_dead(node); }));
     const std::uint64_t deaths = network_.deaths_declared();
     network_.set_cut(nullptr);
-    bool own_side_whole = true;
+    bool own_side_complete = true;
     network_.run_until(
         [&] {
-            own_side_whole = own_side_whole && network_.all_running([&](const swim& each) {
-                return sees_own_side_whole(each);
+            own_side_complete = own_side_complete && network_.all_running([&](const swim& node) {
+                return sees_own_side_complete(node);
             });
             return network_.is_converged();
         },
         300 * second);
-    EXPECT_TRUE(own_side_whole);
+    EXPECT_TRUE(own_side_complete);
     EXPECT_TRUE(network_.is_converged());
     network_.run_for(30 * second);
     EXPECT_TRUE(network_.is_converged());
@@ -243,8 +244,8 @@
     EXPECT_LE(network_.largest_datagram(), swim_options{}.packet_limit);
 }
 
-// Guards against members that joined or were replaced during a partition and stay unknown to the
-// other side.
+// Guards against members that join or are replaced during a partition and stay unknown to the other
+// side.
 TEST_F(partition_test, replacements_during_a_partition_are_found_afterwards)
 {
     partition();
@@ -261,16 +262,18 @@
 // restarted at the same addresses.
 TEST_F(partition_test, restart_of_a_data_centre_replaces_all_its_instances)
 {
-    for (std::size_t slot = 0; slot < network_.size(); slot += 2) {
-        network_.restart(slot);
+    for (std::size_t vm = 0; vm < network_.size(); vm += 2) {
+        network_.restart(vm);
     }
     network_.run_until([&] { return network_.is_converged(); }, 120 * second);
     EXPECT_TRUE(network_.is_converged());
-    EXPECT_EQ(network_.deaths_declared(), 0U); // Replaced on sight, not by a suspicion.
+    // The first message of a new process replaces the old instance, without a suspicion.
+    EXPECT_EQ(network_.deaths_declared(), 0U);
 }
 
-// Guards against a drain that spreads by one hop per probe period: at 7,400 members that would take
-// longer than the 3 s after which an upstream must get no new work. The time is virtual.
+// Guards against a drain that spreads by only one hop per probe period. With 7,400 members that
+// would take longer than the 3 s after which an upstream must receive no new calls. The time is
+// virtual.
 TEST(swim, drain_reaches_all_members_within_its_limit)
 {
     gossip_network_options options;
@@ -286,7 +289,7 @@
     }));
 }
 
-// Guards against a member that is told to stop and is then reported as failed.
+// Guards against a member that leaves and is then reported as failed.
 TEST(swim, member_that_leaves_is_known_as_left)
 {
     gossip_network network{{}};
@@ -299,7 +302,7 @@
     EXPECT_EQ(network.deaths_declared(), 0U);
 }
 
-// Guards against tables that stay different after an update was lost everywhere else.
+// Guards against tables that stay different after an update has reached no other node by gossip.
 TEST(swim, anti_entropy_repairs_a_missed_update)
 {
     gossip_network_options options;
