--- a/lib/node/components/membership_component.cpp
+++ b/lib/node/components/membership_component.cpp
@@ -85,7 +85,7 @@
     /// When nodes disagree about which members are alive, only the number of readers varies.
     bool should_read_source(kernel& node) const
     {
-        if (members_->silence() > silence_limit) {
+        if (members_->time_since_last_message() > silence_limit) {
             return true;
         }
         std::size_t lower_instances = 0;
