--- a/include/chestnutstand/config/settings_watch.h
+++ b/include/chestnutstand/config/settings_watch.h
@@ -29,7 +29,7 @@
 
     /// What has changed since the last valid content; nothing without a change. Content that is not
     /// valid is logged once and leaves the settings in force.
-    std::optional<change> look();
+    std::optional<change> poll();
 
 private:
     std::string path_;
--- a/lib/config/settings_watch.cpp
+++ b/lib/config/settings_watch.cpp
@@ -37,7 +37,7 @@
     return changed;
 }
 
-std::optional<settings_watch::change> settings_watch::look()
+std::optional<settings_watch::change> settings_watch::poll()
 {
     auto text = read_file(path_);
     if (!text.ok()) {
--- a/tools/chestnutstand/node.cpp
+++ b/tools/chestnutstand/node.cpp
@@ -59,7 +59,7 @@
         if (received != -1 && !told) {
             return;
         }
-        const auto change = file.look();
+        const auto change = file.poll();
         if (change) {
             node.reload(change->now);
         }
--- a/unittests/config/settings_watch_test.cpp
+++ b/unittests/config/settings_watch_test.cpp
@@ -27,24 +27,24 @@
 TEST_F(settings_watch_test, reports_each_change_once_with_its_keys)
 {
     write(first_text);
-    EXPECT_FALSE(watch_.look());
+    EXPECT_FALSE(watch_.poll());
     write(R"({"data_centre": "howrah", "log_url": "http://127.0.0.1:1", "log_level": "warning",
         "cluster_secret": "another secret of the test"})");
-    const auto change = watch_.look();
+    const auto change = watch_.poll();
     ASSERT_TRUE(change);
     EXPECT_EQ(change->keys, (std::vector<std::string>{"cluster_secret", "log_level"}));
     EXPECT_EQ(change->now.lowest_log_level, log_level::warning);
-    EXPECT_FALSE(watch_.look());
+    EXPECT_FALSE(watch_.poll());
 }
 
 // Guards against a half-written or damaged file that takes the settings away.
 TEST_F(settings_watch_test, keeps_the_settings_when_the_file_is_not_valid)
 {
-    EXPECT_FALSE(watch_.look()) << "there is no file";
+    EXPECT_FALSE(watch_.poll()) << "there is no file";
     write("{\"data_centre\": ");
-    EXPECT_FALSE(watch_.look());
+    EXPECT_FALSE(watch_.poll());
     write(first_text);
-    EXPECT_FALSE(watch_.look()) << "back to what is in force";
+    EXPECT_FALSE(watch_.poll()) << "back to what is in force";
 }
 
 // Guards against a comment or another order of keys that passes for a change.
@@ -52,7 +52,7 @@
 {
     write(R"({"log_url": "http://127.0.0.1:1", // the log
         "data_centre": "howrah", "cluster_secret": "secret of the test"})");
-    EXPECT_FALSE(watch_.look());
+    EXPECT_FALSE(watch_.poll());
 }
 
 } // namespace
