--- a/include/chestnutstand/config/settings_watch.h
+++ b/include/chestnutstand/config/settings_watch.h
@@ -16,7 +16,7 @@
 class settings_watch {
 public:
     struct change {
-        settings now;
+        settings new_settings;
         /// Top-level keys whose values have changed.
         std::vector<std::string> keys;
     };
--- a/tools/chestnutstand/node.cpp
+++ b/tools/chestnutstand/node.cpp
@@ -61,7 +61,7 @@
         }
         const auto change = file.poll();
         if (change) {
-            node.reload(change->now);
+            node.reload(change->new_settings);
         }
         if (change) {
             log_event(log_level::info, "settings reloaded",
--- a/unittests/config/settings_watch_test.cpp
+++ b/unittests/config/settings_watch_test.cpp
@@ -33,7 +33,7 @@
     const auto change = watch_.poll();
     ASSERT_TRUE(change);
     EXPECT_EQ(change->keys, (std::vector<std::string>{"cluster_secret", "log_level"}));
-    EXPECT_EQ(change->now.lowest_log_level, log_level::warning);
+    EXPECT_EQ(change->new_settings.lowest_log_level, log_level::warning);
     EXPECT_FALSE(watch_.poll());
 }
 
