--- a/include/chestnutstand/config/config_service.h
+++ b/include/chestnutstand/config/config_service.h
@@ -28,34 +28,36 @@
 inline constexpr const char* config_stream = "config";
 
 struct config_options {
-    /// Random id of this process.
+    /// Random id of this process; spreads the checkpoint delays of the nodes.
     std::uint64_t instance = 0;
     milliseconds log_retention{86'400'000};
-    /// Time between two reads of the log while it is tailed.
+    /// Time between two polls of the log while this node tails it.
     milliseconds poll_period{250};
-    /// How long the author of a change waits for the verdict.
+    /// Time limit for the verdict on a published change.
     milliseconds publish_wait{10'000};
+    /// Time limit of one fetch from a peer.
     milliseconds fetch_timeout{1'000};
-    /// A node without state leaves this much time for peers before it reads the log.
+    /// Time after the start during which a node without state waits for peers before it reads the
+    /// log.
     milliseconds bootstrap_delay{500};
-    /// Records after which a checkpoint is due.
+    /// Records since the last confirmed checkpoint after which the next one is due.
     std::uint64_t checkpoint_records = 200;
-    /// A node waits for a part of this time, different for each node, before it writes a checkpoint
-    /// that is due, so that one node is first and the others see its checkpoint.
+    /// Upper limit of the delay before a node writes a checkpoint that is due. Each node derives
+    /// its own delay from its instance id, so that usually one node writes and the others read its
+    /// checkpoint before their delay ends.
     milliseconds checkpoint_wait{30'000};
 };
 
 /// Verdict on a published change.
 struct publish_verdict {
     bool accepted = false;
-    /// Version of the document that the change made, or the current one when it was rejected.
+    /// Version of the document with the change, or the current one when the change was rejected.
     std::uint64_t version = 0;
     std::string explanation;
 };
 
-/// Keeps the configuration document up to date from the log and from peers. All methods are called
-/// on the control thread except current(). The control loop must have stopped before it is
-/// destroyed.
+/// Keeps the configuration document up to date from the log and from peers. All methods except
+/// current() are called on the control thread. Destroy it only after the control loop has stopped.
 class config_service final : public configuration {
 public:
     config_service(config_options options, control_loop& loop, log_client& log, peer_client& peers);
@@ -66,23 +68,25 @@
 
     std::uint64_t next_offset() const { return replay_.next_offset(); }
 
-    /// Calls a listener whenever records have been applied.
+    /// Adds a listener that is called whenever records have been applied.
     void on_advance(std::function<void(std::uint64_t next_offset)> listener) override;
 
-    /// Whether this node reads the log all the time.
+    /// Sets whether this node polls the log continuously.
     void set_tailing(bool tailing) override { tailing_ = tailing; }
     std::size_t wanted_readers() const override;
 
-    /// A peer has replayed up to next_offset; newer records are fetched from it.
+    /// Reports that a peer has replayed all records before next_offset; those that are missing here
+    /// are fetched from it.
     void hint(const node_reference& peer, std::uint64_t next_offset) override;
 
-    /// Answers a peer that has replayed up to from_offset.
+    /// Response to a peer that has replayed all records before from_offset: the records from there
+    /// on, or a checkpoint when they are no longer kept.
     fetched_changes handle_fetch(std::uint64_t from_offset) const override;
 
     using publish_done = std::function<void(absl::StatusOr<publish_verdict>)>;
-    /// Appends a change to the log and waits for the verdict. An UnavailableError means that the
-    /// change was not published; after a DeadlineExceededError it may still take effect, and
-    /// publishing it again with the same change id is safe and tells the verdict.
+    /// Appends a change to the log and reports the verdict. UnavailableError: the change was not
+    /// published. DeadlineExceededError: the change may still take effect; publishing it again with
+    /// the same change id is safe and returns the verdict.
     void publish(section_change change, publish_done done);
 
     config_state state() const { return replay_.state(); }
@@ -90,9 +94,9 @@
 private:
     struct pending_publish {
         section_change change;
-        /// Tells this wait from a later one with the same change id.
+        /// Distinguishes this entry from a later one with the same change id.
         std::uint64_t number = 0;
-        /// Why the replay rejected the change.
+        /// Reason for which the replay rejected the change; empty unless rejected.
         std::string explanation;
         std::vector<publish_done> done;
     };
@@ -112,13 +116,14 @@
 
     void remove_hint(const node_reference& peer);
     void fetch();
-    void finish_fetch(const peer_hint& asked, const absl::StatusOr<fetched_changes>& changes);
+    void finish_fetch(const peer_hint& used_hint, const absl::StatusOr<fetched_changes>& changes);
 
     void append_change(const std::string& change_id, const absl::Status& caught_up);
     void finish_append(const std::string& change_id, const absl::StatusOr<std::uint64_t>& offset);
     void expire_publish(const std::string& change_id, std::uint64_t number);
     void complete_publishes();
-    void answer(const std::string& change_id, const absl::StatusOr<publish_verdict>& verdict);
+    void complete_publish(const std::string& change_id,
+                          const absl::StatusOr<publish_verdict>& verdict);
 
     config_options options_;
     control_loop& loop_;
@@ -133,10 +138,11 @@
     time_point next_bootstrap_read_;
     std::uint64_t announced_offset_ = 0;
 
+    /// Last applied records, consecutive, kept for peers that are a little behind.
     std::deque<change_record> records_;
     std::size_t record_bytes_ = 0;
 
-    /// From different peers, oldest first, so that a peer that does not answer is not the only one.
+    /// Oldest first, at most one of each peer; several, because a peer may not respond.
     std::vector<peer_hint> hints_;
     bool fetching_ = false;
 
--- a/include/chestnutstand/config/configuration.h
+++ b/include/chestnutstand/config/configuration.h
@@ -9,9 +9,10 @@
 
 namespace chestnutstand {
 
-/// Keeps the configuration document up to date from a source that all nodes share, and passes it on
-/// to peers, so that a node that cannot reach the source follows as well. Used on the control
-/// thread, except for current().
+/// Keeps the configuration document up to date from a source that all nodes share, and serves it to
+/// peers, so that nodes that cannot reach the source get updates too. A position is a number that
+/// grows with every update of the document. All methods except current() are called on the control
+/// thread.
 class configuration {
 public:
     configuration() = default;
@@ -21,22 +22,23 @@
 
     virtual void start() = 0;
 
-    /// The document in force; null until there is one. Callable from any thread.
+    /// The document in force; null until there is one. Safe to call from any thread.
     virtual const snapshot<document>& current() const = 0;
 
-    /// Calls a listener whenever the document has advanced. Positions grow with every change.
+    /// Adds a listener that is called whenever the position has advanced.
     virtual void on_advance(std::function<void(std::uint64_t position)> listener) = 0;
 
-    /// Whether this node reads the source all the time.
+    /// Sets whether this node reads the source continuously.
     virtual void set_tailing(bool tailing) = 0;
 
-    /// Number of nodes per data centre that should read the source.
+    /// Number of nodes per data centre that should read the source continuously.
     virtual std::size_t wanted_readers() const = 0;
 
-    /// A peer has advanced to a position; what is newer is fetched from it.
+    /// Reports that a peer has advanced to a position; when that is ahead of this node, the changes
+    /// are fetched from the peer.
     virtual void hint(const node_reference& peer, std::uint64_t position) = 0;
 
-    /// Answers a peer that has advanced to a position.
+    /// Response to a peer that has advanced to a position: the changes after it.
     virtual fetched_changes handle_fetch(std::uint64_t position) const = 0;
 };
 
--- a/include/chestnutstand/config/document.h
+++ b/include/chestnutstand/config/document.h
@@ -11,71 +11,73 @@
 
 namespace chestnutstand {
 
-/// One priority class of a service.
+/// Priority class of a service.
 struct priority_config {
     std::string name;
     milliseconds latency_target{1000};
     double weight = 1.0;
     bool idempotent = false;
-    /// Urgency before the latency target: a lower rank goes first.
+    /// Ordered before the latency target: calls of a lower rank are served first.
     std::uint32_t rank = 0;
 };
 
 /// What the operators declare about one service.
 struct service_config {
     std::string name;
-    /// In the order of the document; the first is the default class of a call.
+    /// In the order of the document; the first is the class of calls that name none.
     std::vector<priority_config> priorities;
-    /// Share of the capacity that is divided among all classes by weight, whatever the load.
+    /// Share of the capacity that is reserved for the classes in proportion to their weights,
+    /// whatever the load.
     double reserve = 0.3;
-    /// Limit of requests per second that only measure an upstream.
+    /// Limit of probe requests per second, which only measure an upstream.
     double probe_budget_per_s = 2.0;
     /// Retries allowed per successful call.
     double retry_ratio = 0.1;
     std::uint32_t queue_limit_per_priority = 200;
-    /// Share of an upstream's slots that is used at once. Many upstreams get slower with the last
-    /// ones than the additional concurrency is worth.
+    /// Share of an upstream's slots that may be in use at once. In many upstreams the last slots
+    /// add less concurrency than they cost in latency.
     double slot_share = 1.0;
     std::string balancing_policy = "two_choices";
-    /// Path that an upstream answers with 200 while it is healthy and not leaving.
+    /// Path at which an upstream responds with status 200 while it is healthy and not leaving.
     std::string health_path;
-    /// Connections that one upstream accepts from all callers; 0 means not limited.
+    /// Connections that one upstream accepts from all callers together; 0 means unlimited.
     std::uint32_t max_connections = 0;
 
     const priority_config* find_priority(std::string_view priority) const;
 };
 
-/// Service that gets a share of the calls of a route.
+/// Service that gets a share of the requests of a route, in proportion to its weight.
 struct route_target {
     std::string service;
     double weight = 1.0;
 };
 
-/// Requests of one host below one path, and how they are to be handled.
+/// How requests to one host whose path has one prefix are handled.
 struct route {
     std::string name;
     std::string host;
     /// Begins and ends with a slash.
     std::string path_prefix = "/";
-    /// Either a single service or a weighted split.
+    /// Exactly one of service and split is set.
     std::string service;
     std::vector<route_target> split;
-    /// Longest time that a caller is kept waiting.
+    /// Time after which a caller gets a response in any case.
     milliseconds timeout{60'000};
-    /// Latency within which an answer is worth its full value.
+    /// Latency up to which a response has its full value.
     milliseconds latency_target{1'000};
-    /// Upstreams that one request may be sent to.
+    /// Maximum number of upstreams that one request is sent to.
     std::uint32_t attempts = 1;
-    /// Urgency, 0 for the highest.
+    /// Rank of the priority class; 0 is the most urgent.
     std::uint32_t rank = 0;
     /// Whether a request may run more than once.
     bool idempotent = false;
 
-    /// Service for a request whose position in the split is given in [0, 1).
+    /// Service of a request; position, in [0, 1), selects the target within the weights of the
+    /// split.
     const std::string& service_at(double position) const;
 };
 
-/// What callers may send, and for how long they may be silent.
+/// Limits on the size of a caller's request and on how long a caller may be silent.
 struct caller_limits {
     std::size_t max_header_bytes = std::size_t{16} << 10U;
     std::size_t max_body_bytes = std::size_t{1} << 20U;
@@ -85,23 +87,23 @@
     friend bool operator==(const caller_limits&, const caller_limits&) = default;
 };
 
-/// The configuration document as a whole, valid and in force.
+/// The whole configuration document after validation.
 struct document {
-    /// Grows with every accepted change; 0 stands for no change.
+    /// Increases with every accepted change; 0 before the first.
     std::uint64_t version = 0;
     std::vector<service_config> services;
     std::vector<route> routes;
     caller_limits limits;
-    /// Indexes of the routes of each host, the longest path prefix first; made by index_routes().
+    /// Indexes of the routes of each host, the longest path prefix first; built by index_routes().
     std::unordered_map<std::string, std::vector<std::size_t>> routes_by_host;
 
     const service_config* find_service(std::string_view service) const;
 
-    /// To be called after the routes have changed.
+    /// Rebuilds routes_by_host; must be called after routes has changed.
     void index_routes();
 
-    /// Route with the longest prefix of the path; null when none matches. The host is the value of
-    /// the Host header, the target a path with its query.
+    /// Route of the host with the longest matching path prefix; null when none matches. host is the
+    /// value of the Host header, target the path with its query.
     const route* find_route(std::string_view host, std::string_view target) const;
 };
 
--- a/include/chestnutstand/config/http_log_client.h
+++ b/include/chestnutstand/config/http_log_client.h
@@ -7,11 +7,12 @@
 
 namespace chestnutstand {
 
-/// The log service over HTTP. An append that fails with UnavailableError has not taken effect, any
-/// other failed append may have. A response that is too large fails with ResourceExhaustedError.
+/// Client of the log service over HTTP. An append that fails with UnavailableError has not taken
+/// effect, with any other error it may have. A response that is too large fails with
+/// ResourceExhaustedError.
 class http_log_client : public log_client {
 public:
-    /// base_url is http://ip:port.
+    /// base_url has the form http://ip:port.
     http_log_client(http_client& client, std::string base_url);
 
     void append(const std::string& stream, std::string payload, append_done done) override;
--- a/include/chestnutstand/config/key_description.h
+++ b/include/chestnutstand/config/key_description.h
@@ -5,9 +5,9 @@
 
 namespace chestnutstand {
 
-/// What a key of a settings file or of a section accepts, as it is documented.
+/// Documentation of one key of a settings file, a section or a record: its type and valid values.
 struct key_description {
-    /// Path from the top of the file; [] stands for each element of a list.
+    /// Path from the root of the file; [] stands for each element of a list.
     std::string path;
     std::string type;
     std::string unit;
@@ -22,7 +22,7 @@
 /// Keys of the content of one section of the configuration document.
 std::vector<key_description> describe_section();
 
-/// Keys of a document that is kept whole in one record.
+/// Keys of a document that is kept whole in one record of the store.
 std::vector<key_description> describe_record();
 
 } // namespace chestnutstand
--- a/include/chestnutstand/config/keyed_store.h
+++ b/include/chestnutstand/config/keyed_store.h
@@ -11,10 +11,10 @@
 
 namespace chestnutstand {
 
-/// What the nodes keep in a store outside of them.
+/// Topics of the external store.
 enum class store_topic : std::uint8_t {
-    document, ///< The operator's document in a single record; written by the operator only.
-    members,  ///< How to reach each node.
+    document, ///< The whole document in one record; only the operator writes it.
+    members,  ///< Addresses of the nodes, one record for each.
 };
 
 struct keyed_record {
@@ -29,8 +29,8 @@
     std::uint64_t next = 0;
 };
 
-/// Store that keeps the newest record of each key, and the others for a while. Callbacks run on any
-/// thread. A write that failed may still have taken effect.
+/// Client of a store that keeps the newest record of each key indefinitely and older records for a
+/// limited time. Callbacks run on any thread. A write that failed may still have taken effect.
 class keyed_store {
 public:
     using write_done = std::function<void(absl::Status)>;
@@ -44,11 +44,11 @@
     virtual void put(store_topic topic, const std::string& key, std::string value,
                      write_done done) = 0;
 
-    /// The newest record of each key.
+    /// Reads the newest record of each key.
     virtual void newest(store_topic topic, read_done done) = 0;
 
-    /// Records from an offset on, as soon as there is one or after the wait. OutOfRange when the
-    /// store has dropped the records in between.
+    /// Long poll: reads the records from an offset on, as soon as there is one, or none after the
+    /// wait. OutOfRangeError when the store no longer has all records from that offset on.
     virtual void follow(store_topic topic, std::uint64_t from, milliseconds wait,
                         read_done done) = 0;
 };
--- a/include/chestnutstand/config/log_client.h
+++ b/include/chestnutstand/config/log_client.h
@@ -13,6 +13,7 @@
 
 struct log_record {
     std::uint64_t offset = 0;
+    /// Time since the record was appended.
     milliseconds age{0};
     std::string payload;
 };
@@ -25,8 +26,8 @@
     std::vector<log_record> records;
 };
 
-/// The platform's append-only log service. Callbacks run on any thread. An append that failed may
-/// still have taken effect.
+/// Client of the platform's append-only log service. Callbacks run on any thread. An append that
+/// failed may still have taken effect.
 class log_client {
 public:
     using append_done = std::function<void(absl::StatusOr<std::uint64_t>)>;
--- a/include/chestnutstand/config/record_follower.h
+++ b/include/chestnutstand/config/record_follower.h
@@ -19,18 +19,20 @@
 
 struct record_follower_options {
     std::uint64_t random_seed = 0;
-    /// Longest time that one read of the store waits for a record.
+    /// Time limit of one long poll of the store.
     milliseconds read_wait{20'000};
+    /// Time limit of one fetch from a peer.
     milliseconds fetch_timeout{500};
-    /// Pause after a failed read; doubled with each further failure up to the longest.
+    /// Delay after a failed read; doubled with each further failure, up to max_backoff.
     milliseconds initial_backoff{250};
     milliseconds max_backoff{2'000};
 };
 
-/// Follows a document that its operator keeps whole in one record of the store: the newest record
-/// at the start, then, while this node is a reader, one long read after the other. The others take
-/// newer documents from peers. The position of a document is its version. A
-/// record that cannot be read, or with a version that is not higher, leaves the document in force.
+/// Follows a document that its operator keeps whole in one record of the store. Every node reads
+/// the newest record at the start; after that a node that tails issues one long poll after the
+/// other, and all other nodes fetch newer documents from peers. The position of a document is its
+/// version. A record that is invalid, or whose version is not higher, leaves the document in force
+/// unchanged.
 class record_follower final : public configuration {
 public:
     record_follower(record_follower_options options, control_loop& loop, keyed_store& store,
@@ -66,19 +68,20 @@
     std::mt19937_64 random_;
     snapshot<document> current_;
     std::uint64_t version_ = 0;
-    /// The record that made the document in force, for peers.
+    /// Record of the document in force, for peers.
     std::string record_text_;
     std::vector<std::function<void(std::uint64_t)>> listeners_;
     bool tailing_ = false;
     bool reading_ = false;
-    /// Offset of the next long read; nothing when the newest record has to be read first.
+    /// Offset of the next long poll; nothing when the newest record has to be read first.
     std::optional<std::uint64_t> next_offset_;
     milliseconds backoff_{0};
     bool store_reachable_ = true;
-    /// From different peers, so that one that does not answer is not the only one.
+    /// At most one of each peer; several, because a peer may not respond.
     std::vector<peer_hint> hints_;
     bool fetching_ = false;
-    /// A peer that has a newer document could not be asked for it; the store is read instead.
+    /// Fetching a newer document from a peer failed; the store is read instead, until
+    /// that succeeds.
     bool peer_fetch_failed_ = false;
 };
 
--- a/include/chestnutstand/config/settings_file.h
+++ b/include/chestnutstand/config/settings_file.h
@@ -9,13 +9,14 @@
 
 namespace chestnutstand {
 
-/// Reads settings from JSON with comments. An error names the file, the key and the expected value.
+/// Parses settings from JSON with comments. An error names the file, the key and the expected
+/// value.
 absl::StatusOr<settings> parse_settings(std::string_view text, std::string_view file_name);
 
-/// Reads a settings file; not_found when the file cannot be read.
+/// Loads a settings file; NotFoundError when the file cannot be read.
 absl::StatusOr<settings> load_settings(const std::string& path);
 
-/// Content of a file; not_found when it cannot be read.
+/// Content of a file; NotFoundError when it cannot be read.
 absl::StatusOr<std::string> read_file(const std::string& path);
 
 } // namespace chestnutstand
--- a/include/chestnutstand/config/settings_watch.h
+++ b/include/chestnutstand/config/settings_watch.h
@@ -8,11 +8,11 @@
 
 namespace chestnutstand {
 
-/// Top-level keys whose values differ between two texts of a settings file; a text that cannot be
-/// read counts as one without keys.
+/// Top-level keys whose values differ between two contents of a settings file; content that is not
+/// a JSON object counts as an empty object.
 std::vector<std::string> changed_settings(const std::string& before, const std::string& after);
 
-/// Follows the settings file of a running process. Not safe for concurrent use.
+/// Detects changes of the settings file of a running process. Not thread-safe.
 class settings_watch {
 public:
     struct change {
@@ -21,22 +21,22 @@
         std::vector<std::string> keys;
     };
 
-    /// The text is what the process has read at its start.
+    /// text is the content that the process read at its start.
     settings_watch(std::string path, std::string text)
-        : path_{std::move(path)}, applied_{text}, seen_{std::move(text)}
+        : path_{std::move(path)}, valid_text_{text}, last_text_{std::move(text)}
     {
     }
 
-    /// What has changed since the last valid content; nothing without a change. Content that is not
-    /// valid is logged once and leaves the settings in force.
+    /// Reads the file and returns what has changed since the last valid content; nothing without a
+    /// change. Invalid content is logged once and counts as no change.
     std::optional<change> poll();
 
 private:
     std::string path_;
     /// Last valid content.
-    std::string applied_;
+    std::string valid_text_;
     /// Last content, valid or not.
-    std::string seen_;
+    std::string last_text_;
 };
 
 } // namespace chestnutstand
--- a/lib/config/change_replay.cpp
+++ b/lib/config/change_replay.cpp
@@ -15,6 +15,7 @@
 namespace chestnutstand {
 namespace {
 
+/// Version of the document after an accepted change at an offset; 0 is reserved for no document.
 std::uint64_t version_of(std::uint64_t offset)
 {
     return offset + 1;
@@ -25,22 +26,23 @@
     return {state.section(), state.owner(), state.version(), state.content()};
 }
 
-void add_section(wire::Checkpoint& checkpoint, const section& each)
+void add_section(wire::Checkpoint& checkpoint, const section& added)
 {
     auto& state = *checkpoint.add_sections();
-    state.set_section(each.name);
-    state.set_owner(each.owner);
-    state.set_version(each.version);
-    state.set_content(each.content);
+    state.set_section(added.name);
+    state.set_owner(added.owner);
+    state.set_version(added.version);
+    state.set_content(added.content);
 }
 
-/// Digest of version and sections.
+/// SHA-256 digest of the version and the sections, which is all that checkpoints are compared by
+/// apart from the recent changes.
 std::string digest_of(const wire::Checkpoint& checkpoint)
 {
-    wire::Checkpoint compared;
-    compared.set_version(checkpoint.version());
-    *compared.mutable_sections() = checkpoint.sections();
-    const std::string bytes = compared.SerializeAsString();
+    wire::Checkpoint digested;
+    digested.set_version(checkpoint.version());
+    *digested.mutable_sections() = checkpoint.sections();
+    const std::string bytes = digested.SerializeAsString();
     std::array<unsigned char, SHA256_DIGEST_LENGTH> digest{};
     SHA256(reinterpret_cast<const unsigned char*>(bytes.data()), bytes.size(), digest.data());
     return {digest.begin(), digest.end()};
@@ -66,7 +68,7 @@
                    ", the change is from team ", team);
 }
 
-/// Empty when the names in a change are valid.
+/// Error message for an invalid name in a change; empty when all are valid.
 std::string check_names(const std::string& change_id, const std::string& team,
                         const std::string& name)
 {
@@ -80,32 +82,36 @@
     return is_valid_name(name) ? "" : str_cat("section: ", expected);
 }
 
-/// Checks that need no other state than the checkpoint itself.
+/// Checks a checkpoint without any other state.
 absl::Status check_consistent(const wire::Checkpoint& checkpoint)
 {
     std::vector<section> sections;
     std::uint64_t highest = 0;
-    for (const auto& each : checkpoint.sections()) {
-        if (!sections.empty() && sections.back().name >= each.section()) {
-            return absl::InvalidArgumentError("sections are not in the order of their names");
+    for (const auto& state : checkpoint.sections()) {
+        if (!sections.empty() && sections.back().name >= state.section()) {
+            return absl::InvalidArgumentError(
+                "the sections of the checkpoint are not in the order of their names");
         }
-        if (!is_valid_name(each.section()) || each.version() == 0) {
-            return absl::InvalidArgumentError("a section has no valid name or version");
+        if (!is_valid_name(state.section()) || state.version() == 0) {
+            return absl::InvalidArgumentError(
+                "a section of the checkpoint has an invalid name or version");
         }
-        highest = std::max(highest, each.version());
-        sections.push_back(to_section(each));
+        highest = std::max(highest, state.version());
+        sections.push_back(to_section(state));
     }
     if (highest != checkpoint.version() || highest > version_of(checkpoint.covered_offset())) {
-        return absl::InvalidArgumentError("versions do not match the covered offset");
+        return absl::InvalidArgumentError(
+            "the versions in the checkpoint do not match its covered offset");
     }
     std::set<std::string> change_ids;
     std::uint64_t lowest_offset = 0;
-    for (const auto& each : checkpoint.recent_changes()) {
-        if (each.offset() < lowest_offset || each.offset() > checkpoint.covered_offset() ||
-            !change_ids.insert(each.change_id()).second) {
-            return absl::InvalidArgumentError("recent changes are not in order");
+    for (const auto& change : checkpoint.recent_changes()) {
+        if (change.offset() < lowest_offset || change.offset() > checkpoint.covered_offset() ||
+            !change_ids.insert(change.change_id()).second) {
+            return absl::InvalidArgumentError(
+                "the recent changes of the checkpoint are out of order or repeat a change id");
         }
-        lowest_offset = each.offset() + 1;
+        lowest_offset = change.offset() + 1;
     }
     return sections.empty() ? absl::OkStatus() : parse_document(sections).status();
 }
@@ -191,11 +197,11 @@
                        change.team(), " in a new section, found ", content->owner);
     }
     result = {change.section(), content->owner, version_of(offset), change.content()};
-    auto whole = parse_document(sections_with(result));
-    if (!whole.ok()) {
-        return std::string{whole.status().message()};
+    auto parsed = parse_document(sections_with(result));
+    if (!parsed.ok()) {
+        return std::string{parsed.status().message()};
     }
-    next = std::make_shared<const document>(*std::move(whole));
+    next = std::make_shared<const document>(*std::move(parsed));
     return "";
 }
 
@@ -205,8 +211,8 @@
     all[changed.name] = changed;
     std::vector<section> result;
     result.reserve(all.size());
-    for (auto& [name, each] : all) {
-        result.push_back(std::move(each));
+    for (auto& [name, value] : all) {
+        result.push_back(std::move(value));
     }
     return result;
 }
@@ -221,21 +227,22 @@
             str_cat("the checkpoint at offset ", offset, " covers later records, up to ", covered);
         return verdict;
     }
-    const auto known =
+    const auto compared =
         std::find_if(state_digests_.rbegin(), state_digests_.rend(),
-                     [&](const auto& each) { return each.version <= version_of(covered); });
-    if (known == state_digests_.rend()) {
-        verdict.explanation = str_cat("the checkpoint is too old, it covers offset ", covered);
+                     [&](const auto& digest) { return digest.version <= version_of(covered); });
+    if (compared == state_digests_.rend()) {
+        verdict.explanation =
+            str_cat("the checkpoint is too old to compare, it covers offset ", covered);
         return verdict;
     }
-    if (known->version != checkpoint.version() || known->digest != digest_of(checkpoint) ||
+    if (compared->version != checkpoint.version() || compared->digest != digest_of(checkpoint) ||
         !recent_changes_match(checkpoint)) {
         verdict.explanation = str_cat("the checkpoint of version ", checkpoint.version(),
                                       " differs from the replayed state");
         return verdict;
     }
     verdict.result = replay_result::checkpoint_confirmed;
-    oldest_needed_offset_ = std::max(oldest_needed_offset_, version_of(covered));
+    oldest_needed_offset_ = std::max(oldest_needed_offset_, covered + 1);
     return verdict;
 }
 
@@ -243,39 +250,42 @@
 {
     const std::uint64_t covered = checkpoint.covered_offset();
     const std::uint64_t oldest = next_offset_ > replay_window ? next_offset_ - replay_window : 0;
-    std::vector<recent_change> theirs;
-    for (const auto& each : checkpoint.recent_changes()) {
-        if (each.offset() >= oldest) {
-            theirs.push_back(to_recent_change(each));
+    std::vector<recent_change> in_checkpoint;
+    for (const auto& change : checkpoint.recent_changes()) {
+        if (change.offset() >= oldest) {
+            in_checkpoint.push_back(to_recent_change(change));
         }
     }
-    std::vector<recent_change> ours;
-    std::copy_if(recent_.begin(), recent_.end(), std::back_inserter(ours),
-                 [&](const auto& each) { return each.offset >= oldest && each.offset <= covered; });
-    return theirs == ours;
+    std::vector<recent_change> replayed;
+    std::copy_if(
+        recent_.begin(), recent_.end(), std::back_inserter(replayed),
+        [&](const auto& change) { return change.offset >= oldest && change.offset <= covered; });
+    return in_checkpoint == replayed;
 }
 
 absl::Status change_replay::check_adoptable(const wire::Checkpoint& checkpoint) const
 {
-    if (version_of(checkpoint.covered_offset()) <= next_offset_) {
-        return absl::FailedPreconditionError("the checkpoint covers no later records");
+    if (checkpoint.covered_offset() + 1 <= next_offset_) {
+        return absl::FailedPreconditionError(
+            "the checkpoint covers no records beyond those replayed");
     }
     if (auto status = check_consistent(checkpoint); !status.ok()) {
         return status;
     }
-    std::map<std::string, const wire::SectionState*> theirs;
-    for (const auto& each : checkpoint.sections()) {
-        theirs[each.section()] = &each;
+    std::map<std::string, const wire::SectionState*> states;
+    for (const auto& state : checkpoint.sections()) {
+        states[state.section()] = &state;
     }
-    for (const auto& [name, ours] : sections_) {
-        const auto found = theirs.find(name);
-        if (found == theirs.end() || found->second->version() < ours.version) {
+    for (const auto& [name, current] : sections_) {
+        const auto found = states.find(name);
+        if (found == states.end() || found->second->version() < current.version) {
             return absl::InvalidArgumentError(
-                str_cat("the checkpoint has an older section ", name));
+                str_cat("the checkpoint lacks section ", name, " or has an older version of it"));
         }
-        if (found->second->version() == ours.version && found->second->content() != ours.content) {
-            return absl::InvalidArgumentError(
-                str_cat("the checkpoint has another content of section ", name));
+        if (found->second->version() == current.version &&
+            found->second->content() != current.content) {
+            return absl::InvalidArgumentError(str_cat(
+                "the checkpoint has different content of section ", name, " for the same version"));
         }
     }
     return absl::OkStatus();
@@ -288,19 +298,19 @@
     }
     std::vector<section> sections;
     sections_.clear();
-    for (const auto& each : checkpoint.sections()) {
-        sections.push_back(to_section(each));
-        sections_[each.section()] = sections.back();
+    for (const auto& state : checkpoint.sections()) {
+        sections.push_back(to_section(state));
+        sections_[state.section()] = sections.back();
     }
     document_ =
         sections.empty() ? nullptr : std::make_shared<const document>(*parse_document(sections));
     recent_.clear();
     recent_by_id_.clear();
-    for (const auto& each : checkpoint.recent_changes()) {
-        add_recent_change(to_recent_change(each));
+    for (const auto& change : checkpoint.recent_changes()) {
+        add_recent_change(to_recent_change(change));
     }
     version_ = checkpoint.version();
-    next_offset_ = version_of(checkpoint.covered_offset());
+    next_offset_ = checkpoint.covered_offset() + 1;
     oldest_needed_offset_ = std::min(checkpoint.oldest_needed_offset(), next_offset_);
     state_digests_.clear();
     record_state_digest();
@@ -313,42 +323,42 @@
     checkpoint.set_covered_offset(next_offset_ - 1);
     checkpoint.set_version(version_);
     checkpoint.set_oldest_needed_offset(oldest_needed_offset_);
-    for (const auto& [name, each] : sections_) {
-        add_section(checkpoint, each);
+    for (const auto& [name, current] : sections_) {
+        add_section(checkpoint, current);
     }
-    for (const auto& each : recent_) {
+    for (const auto& recent : recent_) {
         auto& change = *checkpoint.add_recent_changes();
-        change.set_change_id(each.change_id);
-        change.set_offset(each.offset);
-        change.set_accepted(each.accepted);
+        change.set_change_id(recent.change_id);
+        change.set_offset(recent.offset);
+        change.set_accepted(recent.accepted);
     }
     return checkpoint;
 }
 
 std::optional<replay_verdict> change_replay::predict_rejection(const section_change& change) const
 {
-    const replay_verdict refused{replay_result::rejected, change.change_id, version_, ""};
-    auto with = [&](std::string explanation) {
-        auto verdict = refused;
+    const replay_verdict rejected{replay_result::rejected, change.change_id, version_, ""};
+    auto reject = [&](std::string explanation) {
+        auto verdict = rejected;
         verdict.explanation = std::move(explanation);
         return verdict;
     };
-    if (auto wrong = check_names(change.change_id, change.team, change.section); !wrong.empty()) {
-        return with(std::move(wrong));
+    if (auto error = check_names(change.change_id, change.team, change.section); !error.empty()) {
+        return reject(std::move(error));
     }
     const auto content = parse_section(change.content, str_cat("section ", change.section));
     if (!content.ok()) {
-        return with(std::string{content.status().message()});
+        return reject(std::string{content.status().message()});
     }
     const auto current = sections_.find(change.section);
     const std::uint64_t version = current == sections_.end() ? 0 : current->second.version;
     if (change.base_version < version) {
-        return with(stale_base_message(change.section, version, change.base_version));
+        return reject(stale_base_message(change.section, version, change.base_version));
     }
-    // A later change could hand the section to this team, but would also make the base version
-    // stale.
+    // A change that is still missing here could transfer the section to this team, but would also
+    // make the base version stale.
     if (version != 0 && change.base_version == version && current->second.owner != change.team) {
-        return with(wrong_team_message(current->second, change.team));
+        return reject(wrong_team_message(current->second, change.team));
     }
     return std::nullopt;
 }
@@ -362,8 +372,8 @@
 config_state change_replay::state() const
 {
     config_state result{version_, next_offset_, {}};
-    for (const auto& [name, each] : sections_) {
-        result.sections.push_back(each);
+    for (const auto& [name, current] : sections_) {
+        result.sections.push_back(current);
     }
     return result;
 }
@@ -376,12 +386,12 @@
 
 void change_replay::record_state_digest()
 {
-    wire::Checkpoint compared;
-    compared.set_version(version_);
-    for (const auto& [name, each] : sections_) {
-        add_section(compared, each);
+    wire::Checkpoint digested;
+    digested.set_version(version_);
+    for (const auto& [name, current] : sections_) {
+        add_section(digested, current);
     }
-    state_digests_.push_back({version_, digest_of(compared)});
+    state_digests_.push_back({version_, digest_of(digested)});
 }
 
 void change_replay::trim_history()
@@ -390,7 +400,7 @@
         recent_by_id_.erase(recent_.front().change_id);
         recent_.pop_front();
     }
-    // The second oldest state makes the oldest dispensable once it is out of the window itself.
+    // The digest before the window is kept too: it belongs to the state at the start of the window.
     while (state_digests_.size() > 1 && state_digests_[1].version + replay_window < next_offset_) {
         state_digests_.pop_front();
     }
@@ -406,9 +416,9 @@
             continue;
         }
         const auto& checkpoint = record.checkpoint();
-        const bool in_reach = checkpoint.covered_offset() < offset &&
-                              version_of(checkpoint.covered_offset()) >= first_offset;
-        if (in_reach && check_consistent(checkpoint).ok()) {
+        const bool is_replayable =
+            checkpoint.covered_offset() < offset && checkpoint.covered_offset() + 1 >= first_offset;
+        if (is_replayable && check_consistent(checkpoint).ok()) {
             return &checkpoint;
         }
     }
--- a/lib/config/checkpoint_writer.cpp
+++ b/lib/config/checkpoint_writer.cpp
@@ -12,15 +12,18 @@
 
 constexpr milliseconds max_age_check_period{60'000};
 
-/// A checkpoint is due when the oldest needed record has reached this share of the retention.
+/// A checkpoint is due when the age of the oldest needed record reaches this share of the
+/// retention.
 constexpr double due_age_share = 0.5;
 
-/// Limits the wait of a node to a share of the retention, so that the checkpoint is in time.
-constexpr double wait_share = 0.125;
+/// Limits the delay of a node to a share of the retention, so that the checkpoint is written before
+/// records that it replaces expire.
+constexpr double max_delay_share = 0.125;
+/// Share of the retention between two checks of the record age, at most max_age_check_period.
 constexpr double age_check_share = 0.02;
 
-/// Mixes all bits of a number (finalizer of SplitMix64).
-std::uint64_t mix(std::uint64_t value)
+/// Finalizer of SplitMix64: spreads every bit of the input over the result.
+std::uint64_t mix_bits(std::uint64_t value)
 {
     value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
     value = (value ^ (value >> 27)) * 0x94d049bb133111ebULL;
@@ -46,7 +49,7 @@
         return;
     }
     if (!write_at_) {
-        write_at_ = now + wait();
+        write_at_ = now + write_delay();
     }
     if (now < *write_at_) {
         return;
@@ -64,14 +67,14 @@
     return replay_.next_offset() - oldest >= options_.checkpoint_records || aged_offset_ == oldest;
 }
 
-milliseconds checkpoint_writer::wait() const
+milliseconds checkpoint_writer::write_delay() const
 {
     constexpr double steps = 1U << 20U;
     const std::uint64_t number =
-        mix(options_.instance ^ mix(replay_.oldest_needed_offset() + 1)) % (1U << 20U);
-    const milliseconds longest =
-        std::min(options_.checkpoint_wait, options_.log_retention * wait_share);
-    return longest * (static_cast<double>(number) / steps);
+        mix_bits(options_.instance ^ mix_bits(replay_.oldest_needed_offset() + 1)) % (1U << 20U);
+    const milliseconds max_delay =
+        std::min(options_.checkpoint_wait, options_.log_retention * max_delay_share);
+    return max_delay * (static_cast<double>(number) / steps);
 }
 
 void checkpoint_writer::check_age(time_point now)
@@ -94,17 +97,17 @@
     if (!page.ok()) {
         return;
     }
-    const bool expired = page->first > offset;
-    const bool old = !page->records.empty() &&
-                     page->records.front().age >= options_.log_retention * due_age_share;
-    if (expired || old) {
+    const bool is_expired = page->first > offset;
+    const bool is_old = !page->records.empty() &&
+                        page->records.front().age >= options_.log_retention * due_age_share;
+    if (is_expired || is_old) {
         aged_offset_ = offset;
     }
 }
 
 void checkpoint_writer::write(std::uint64_t due_offset, const absl::Status& caught_up)
 {
-    // Another node's checkpoint may have been read just now.
+    // Catching up may have read the checkpoint of another node, which makes this one unnecessary.
     if (!caught_up.ok() || replay_.oldest_needed_offset() != due_offset) {
         busy_ = false;
         return;
--- a/lib/config/checkpoint_writer.h
+++ b/lib/config/checkpoint_writer.h
@@ -9,18 +9,20 @@
 
 namespace chestnutstand {
 
-/// Appends a checkpoint to the log when one is due and no other node has done so first.
+/// Appends a checkpoint to the log when one is due, unless another node does so first. Used on the
+/// control thread.
 class checkpoint_writer {
 public:
     checkpoint_writer(const config_options& options, control_loop& loop, log_client& log,
                       const change_replay& replay, log_tail& tail);
 
-    /// Called now and then while this node tails the log.
+    /// To be called periodically while this node tails the log.
     void tick(time_point now);
 
 private:
     bool is_due() const;
-    milliseconds wait() const;
+    /// Delay of this node before it writes the checkpoint that is due; differs between nodes.
+    milliseconds write_delay() const;
     void check_age(time_point now);
     void finish_age_check(std::uint64_t offset, const absl::StatusOr<log_page>& page);
     void write(std::uint64_t due_offset, const absl::Status& caught_up);
@@ -30,10 +32,11 @@
     log_client& log_;
     const change_replay& replay_;
     log_tail& tail_;
-    /// Oldest needed record that was found to be old.
+    /// Offset of the oldest needed record when its age makes a checkpoint due.
     std::optional<std::uint64_t> aged_offset_;
     std::optional<time_point> write_at_;
     std::optional<time_point> next_age_check_;
+    /// A read or append of the log is under way.
     bool busy_ = false;
 };
 
--- a/lib/config/config_service.cpp
+++ b/lib/config/config_service.cpp
@@ -13,18 +13,19 @@
 namespace chestnutstand {
 namespace {
 
-/// Records kept for peers that are a little behind; others get the whole state.
+/// Limits of the records kept for peers that are a little behind; other peers get a checkpoint.
 constexpr std::size_t max_kept_records = 512;
 constexpr std::size_t max_kept_bytes = 2'097'152;
 
-/// Keeps a reply below gRPC's default message limit of 4 MiB.
-constexpr std::size_t max_reply_bytes = 1'048'576;
+/// Keeps a response to a peer below gRPC's default message limit of 4 MiB.
+constexpr std::size_t max_response_bytes = 1'048'576;
 
+/// Time between two reads of the log by a node that has no state and does not tail the log.
 constexpr milliseconds bootstrap_read_period{1'000};
 
 constexpr std::size_t max_hints = 4;
 
-// The others learn from them by gossip.
+/// All other nodes get the records from peers, after a hint by gossip.
 constexpr std::size_t log_readers_per_data_centre = 2;
 
 absl::Status not_published_error(const absl::Status& cause)
@@ -51,15 +52,15 @@
                                peer_client& peers)
     : options_{options}, loop_{loop}, log_{log}, peers_{peers}
 {
-    log_tail::target target;
-    target.apply = [this](const std::vector<log_record>& records) { apply_page(records); };
-    target.adopt = [this](const wire::Checkpoint& checkpoint) {
+    log_tail::sink sink;
+    sink.apply = [this](const std::vector<log_record>& records) { apply_page(records); };
+    sink.adopt = [this](const wire::Checkpoint& checkpoint) {
         auto status = replay_.adopt(checkpoint);
         announce();
         return status;
     };
-    target.next_offset = [this] { return replay_.next_offset(); };
-    tail_ = std::make_unique<log_tail>(loop_, log_, std::move(target));
+    sink.next_offset = [this] { return replay_.next_offset(); };
+    tail_ = std::make_unique<log_tail>(loop_, log_, std::move(sink));
     checkpoints_ = std::make_unique<checkpoint_writer>(options_, loop_, log_, replay_, *tail_);
 }
 
@@ -83,7 +84,7 @@
 
 void config_service::poll()
 {
-    if (!tail_->reading() && needs_log_read()) {
+    if (!tail_->is_reading() && needs_log_read()) {
         tail_->catch_up([](const absl::Status&) {});
     }
     if (tailing_) {
@@ -106,8 +107,8 @@
 
 void config_service::apply_page(const std::vector<log_record>& records)
 {
-    for (const auto& each : records) {
-        apply_record(each.offset, each.payload);
+    for (const auto& record : records) {
+        apply_record(record.offset, record.payload);
     }
     announce();
 }
@@ -115,17 +116,19 @@
 void config_service::apply_fetched(const fetched_changes& changes)
 {
     for (std::size_t i = 0; i < changes.records.size(); ++i) {
-        const auto& each = changes.records[i];
+        const auto& fetched = changes.records[i];
         if (i > 0 || !changes.starts_with_checkpoint) {
-            apply_record(each.offset, each.payload);
+            apply_record(fetched.offset, fetched.payload);
             continue;
         }
         wire::ConfigRecord record;
-        const bool valid = record.ParseFromString(each.payload) && record.has_checkpoint();
-        const auto status = valid ? replay_.adopt(record.checkpoint())
-                                  : absl::InvalidArgumentError("expected a checkpoint");
+        const bool valid = record.ParseFromString(fetched.payload) && record.has_checkpoint();
+        const auto status =
+            valid ? replay_.adopt(record.checkpoint())
+                  : absl::InvalidArgumentError("the first record of the response is not a "
+                                               "checkpoint");
         if (!status.ok()) {
-            log_event(log_level::warning, "checkpoint of a peer refused",
+            log_event(log_level::warning, "checkpoint from a peer refused",
                       {{"reason", std::string{status.message()}}});
         }
     }
@@ -152,9 +155,9 @@
                {"change_id", verdict.change_id},
                {"version", verdict.version},
                {"explanation", verdict.explanation}});
-    const auto waiting = publishes_.find(verdict.change_id);
-    if (waiting != publishes_.end() && verdict.result == replay_result::rejected) {
-        waiting->second.explanation = verdict.explanation;
+    const auto pending = publishes_.find(verdict.change_id);
+    if (pending != publishes_.end() && verdict.result == replay_result::rejected) {
+        pending->second.explanation = verdict.explanation;
     }
 }
 
@@ -178,7 +181,7 @@
         return;
     }
     announced_offset_ = replay_.next_offset();
-    // The document is in force here before its author or a peer learns of it.
+    // The document comes into force on this node before its author or a peer is notified.
     if (current_.load() != replay_.current()) {
         current_.store(replay_.current());
     }
@@ -190,27 +193,27 @@
 
 fetched_changes config_service::handle_fetch(std::uint64_t from_offset) const
 {
-    fetched_changes reply;
+    fetched_changes response;
     if (from_offset >= replay_.next_offset()) {
-        return reply;
+        return response;
     }
     if (records_.empty() || from_offset < records_.front().offset ||
         records_.back().offset + 1 != replay_.next_offset()) {
         wire::ConfigRecord record;
         *record.mutable_checkpoint() = replay_.make_checkpoint();
-        reply.starts_with_checkpoint = true;
-        reply.records.push_back({replay_.next_offset() - 1, record.SerializeAsString()});
-        return reply;
+        response.starts_with_checkpoint = true;
+        response.records.push_back({replay_.next_offset() - 1, record.SerializeAsString()});
+        return response;
     }
     std::size_t bytes = 0;
     for (auto i = from_offset - records_.front().offset; i < records_.size(); ++i) {
         bytes += records_[i].payload.size();
-        if (bytes > max_reply_bytes && !reply.records.empty()) {
+        if (bytes > max_response_bytes && !response.records.empty()) {
             break;
         }
-        reply.records.push_back(records_[i]);
+        response.records.push_back(records_[i]);
     }
-    return reply;
+    return response;
 }
 
 void config_service::hint(const node_reference& peer, std::uint64_t next_offset)
@@ -231,7 +234,7 @@
 void config_service::remove_hint(const node_reference& peer)
 {
     hints_.erase(std::remove_if(hints_.begin(), hints_.end(),
-                                [&](const auto& each) { return each.peer == peer; }),
+                                [&](const auto& hint) { return hint.peer == peer; }),
                  hints_.end());
 }
 
@@ -247,23 +250,23 @@
     }
     fetching_ = true;
     peers_.fetch_changes(newest->peer, replay_.next_offset(), options_.fetch_timeout,
-                         [this, asked = *newest](absl::StatusOr<fetched_changes> changes) {
-                             loop_.post([this, asked, changes = std::move(changes)] {
-                                 finish_fetch(asked, changes);
+                         [this, used_hint = *newest](absl::StatusOr<fetched_changes> changes) {
+                             loop_.post([this, used_hint, changes = std::move(changes)] {
+                                 finish_fetch(used_hint, changes);
                              });
                          });
 }
 
-void config_service::finish_fetch(const peer_hint& asked,
+void config_service::finish_fetch(const peer_hint& used_hint,
                                   const absl::StatusOr<fetched_changes>& changes)
 {
     const std::uint64_t before = replay_.next_offset();
     if (changes.ok()) {
         apply_fetched(*changes);
     }
-    // A peer that did not help is not asked again for the same hint; gossip repeats hints.
+    // A fetch that brought nothing new is not repeated for the same hint; gossip repeats the hint.
     if (replay_.next_offset() == before) {
-        remove_hint(asked.peer);
+        remove_hint(used_hint.peer);
     }
     fetching_ = false;
     fetch();
@@ -293,15 +296,16 @@
         return;
     }
     if (!caught_up.ok()) {
-        answer(change_id, not_published_error(caught_up));
+        complete_publish(change_id, not_published_error(caught_up));
         return;
     }
     if (replay_.find_recent(change_id)) {
         complete_publishes();
         return;
     }
-    if (const auto refused = replay_.predict_rejection(found->second.change)) {
-        answer(change_id, publish_verdict{false, replay_.version(), refused->explanation});
+    if (const auto rejection = replay_.predict_rejection(found->second.change)) {
+        complete_publish(change_id,
+                         publish_verdict{false, replay_.version(), rejection->explanation});
         return;
     }
     log_.append(config_stream, to_payload(found->second.change, replay_.next_offset()),
@@ -316,14 +320,15 @@
                                    const absl::StatusOr<std::uint64_t>& offset)
 {
     if (absl::IsUnavailable(offset.status())) {
-        answer(change_id, not_published_error(offset.status()));
+        complete_publish(change_id, not_published_error(offset.status()));
         return;
     }
     if (!offset.ok()) {
-        log_event(log_level::warning, "append without an answer, reading the log for the change",
+        log_event(log_level::warning,
+                  "append failed with unknown effect; reading the log for the change",
                   {{"change_id", change_id}, {"error", std::string{offset.status().message()}}});
     }
-    // While a change waits, poll() keeps reading even when this read comes too early.
+    // When this read comes too early, poll() repeats it as long as a publish is pending.
     tail_->catch_up([](const absl::Status&) {});
 }
 
@@ -333,21 +338,23 @@
     if (found == publishes_.end() || found->second.number != number) {
         return;
     }
-    answer(change_id, absl::DeadlineExceededError(str_cat(
-                          "no verdict within ", options_.publish_wait.count(),
-                          " ms because the log did not answer; the change may still take effect, ",
-                          "publish it again with change id ", change_id, " to learn the verdict")));
+    complete_publish(
+        change_id,
+        absl::DeadlineExceededError(str_cat(
+            "no verdict within ", options_.publish_wait.count(),
+            " ms because the log service did not respond; the change may still ",
+            "take effect, publish it again with change id ", change_id, " to get the verdict")));
 }
 
 void config_service::complete_publishes()
 {
-    std::vector<std::pair<std::string, publish_verdict>> settled;
-    for (const auto& [change_id, waiting] : publishes_) {
+    std::vector<std::pair<std::string, publish_verdict>> decided;
+    for (const auto& [change_id, pending] : publishes_) {
         const auto recent = replay_.find_recent(change_id);
         if (!recent) {
             continue;
         }
-        publish_verdict verdict{recent->accepted, replay_.version(), waiting.explanation};
+        publish_verdict verdict{recent->accepted, replay_.version(), pending.explanation};
         if (recent->accepted) {
             verdict.version = recent->offset + 1;
         }
@@ -355,23 +362,23 @@
             verdict.explanation =
                 str_cat("a change with this id was rejected at offset ", recent->offset);
         }
-        settled.emplace_back(change_id, std::move(verdict));
+        decided.emplace_back(change_id, std::move(verdict));
     }
-    for (const auto& [change_id, verdict] : settled) {
-        answer(change_id, verdict);
+    for (const auto& [change_id, verdict] : decided) {
+        complete_publish(change_id, verdict);
     }
 }
 
-void config_service::answer(const std::string& change_id,
-                            const absl::StatusOr<publish_verdict>& verdict)
+void config_service::complete_publish(const std::string& change_id,
+                                      const absl::StatusOr<publish_verdict>& verdict)
 {
     const auto found = publishes_.find(change_id);
     if (found == publishes_.end()) {
         return;
     }
-    const auto waiting = std::move(found->second.done);
+    const auto callbacks = std::move(found->second.done);
     publishes_.erase(found);
-    for (const auto& done : waiting) {
+    for (const auto& done : callbacks) {
         done(verdict);
     }
 }
--- a/lib/config/document.cpp
+++ b/lib/config/document.cpp
@@ -8,11 +8,11 @@
 namespace chestnutstand {
 namespace {
 
-/// Name of a host without its port, in lower case.
+/// Value of a Host header without the port, in lower case.
 std::string host_key(std::string_view host)
 {
     const auto colon = host.rfind(':');
-    // A colon inside of brackets belongs to an IPv6 address.
+    // A colon within brackets is part of an IPv6 address.
     if (colon != std::string_view::npos && host.find(']', colon) == std::string_view::npos) {
         host = host.substr(0, colon);
     }
@@ -23,8 +23,9 @@
 
 const priority_config* service_config::find_priority(std::string_view priority) const
 {
-    const auto found = std::find_if(priorities.begin(), priorities.end(),
-                                    [&](const auto& each) { return each.name == priority; });
+    const auto found =
+        std::find_if(priorities.begin(), priorities.end(),
+                     [&](const auto& candidate) { return candidate.name == priority; });
     return found == priorities.end() ? nullptr : &*found;
 }
 
@@ -35,21 +36,22 @@
     }
     const double sum =
         std::accumulate(split.begin(), split.end(), 0.0,
-                        [](double total, const auto& part) { return total + part.weight; });
-    double left = position * sum;
-    for (const auto& part : split) {
-        if (left < part.weight) {
-            return part.service;
+                        [](double total, const auto& target) { return total + target.weight; });
+    double remaining = position * sum;
+    for (const auto& target : split) {
+        if (remaining < target.weight) {
+            return target.service;
         }
-        left -= part.weight;
+        remaining -= target.weight;
     }
     return split.back().service;
 }
 
 const service_config* document::find_service(std::string_view service) const
 {
-    const auto found = std::find_if(services.begin(), services.end(),
-                                    [&](const auto& each) { return each.name == service; });
+    const auto found = std::find_if(services.begin(), services.end(), [&](const auto& candidate) {
+        return candidate.name == service;
+    });
     return found == services.end() ? nullptr : &*found;
 }
 
--- a/lib/config/document_parser.cpp
+++ b/lib/config/document_parser.cpp
@@ -49,6 +49,7 @@
     return keys;
 }
 
+/// Length limit of host names and path prefixes.
 constexpr std::size_t max_prefix_length = 1'024;
 
 bool is_host(std::string_view text)
@@ -116,7 +117,7 @@
     return keys;
 }
 
-/// Services of a record: their priority classes follow from the routes.
+/// Keys of a service in a record, which has no priority classes: they are derived from the routes.
 const schema::object_schema<service_config>& record_service_keys()
 {
     static const schema::object_schema<service_config> keys{
@@ -139,13 +140,13 @@
     return keys;
 }
 
-absl::Status check_route_services(const route& checked, const document& whole)
+absl::Status check_route_services(const route& checked, const document& parsed)
 {
     std::vector<std::string_view> services;
     double weights = 0.0;
-    for (const auto& part : checked.split) {
-        services.emplace_back(part.service);
-        weights += part.weight;
+    for (const auto& target : checked.split) {
+        services.emplace_back(target.service);
+        weights += target.weight;
     }
     if (!checked.service.empty()) {
         services.emplace_back(checked.service);
@@ -156,7 +157,7 @@
             str_cat("route ", checked.name, ": expected either a service or a split with weight"));
     }
     for (const auto service : services) {
-        if (whole.find_service(service) == nullptr) {
+        if (parsed.find_service(service) == nullptr) {
             return absl::InvalidArgumentError(
                 str_cat("route ", checked.name, ": expected a declared service, found ", service));
         }
@@ -164,49 +165,51 @@
     return absl::OkStatus();
 }
 
-/// Checks that the routes lead to declared services and that none hides another.
-absl::Status check_routes(const document& whole)
+/// Checks that all routes have declared services, and that no two have the same host and path
+/// prefix.
+absl::Status check_routes(const document& parsed)
 {
-    std::set<std::pair<std::string_view, std::string_view>> seen;
-    for (const auto& each : whole.routes) {
-        if (auto status = check_route_services(each, whole); !status.ok()) {
+    std::set<std::pair<std::string_view, std::string_view>> prefixes;
+    for (const auto& checked : parsed.routes) {
+        if (auto status = check_route_services(checked, parsed); !status.ok()) {
             return status;
         }
-        if (!seen.emplace(each.host, each.path_prefix).second) {
+        if (!prefixes.emplace(checked.host, checked.path_prefix).second) {
             return absl::InvalidArgumentError(
-                str_cat("route ", each.name, ": expected a host and path prefix that no other ",
-                        "route has, found ", each.host, each.path_prefix));
+                str_cat("route ", checked.name, ": expected a host and path prefix that no other ",
+                        "route has, found ", checked.host, checked.path_prefix));
         }
     }
     return absl::OkStatus();
 }
 
-/// Slots beyond this share make the others slower than they add.
+/// Slots beyond this share cost more latency in the others than they add concurrency.
 constexpr double record_slot_share = 0.8;
 
-/// Gives a service one class for each rank and latency target of the routes that lead to it.
-void add_priority_class(service_config& service, const route& leading)
+/// Adds the priority class of a route to a service unless it exists.
+void add_priority_class(service_config& service, const route& source)
 {
-    const std::string name = class_name_of(leading);
+    const std::string name = class_name_of(source);
     if (service.find_priority(name) == nullptr) {
         service.priorities.push_back(
-            {name, leading.latency_target, 1.0, leading.idempotent, leading.rank});
+            {name, source.latency_target, 1.0, source.idempotent, source.rank});
     }
 }
 
-void derive_priority_classes(document& whole)
+/// Gives each service one class for each rank and latency target of the routes that lead to it.
+void derive_priority_classes(document& parsed)
 {
-    for (auto& service : whole.services) {
+    for (auto& service : parsed.services) {
         service.slot_share = record_slot_share;
     }
-    for (const auto& each : whole.routes) {
-        for (auto& service : whole.services) {
-            const bool leads =
-                each.service == service.name ||
-                std::any_of(each.split.begin(), each.split.end(),
-                            [&](const auto& part) { return part.service == service.name; });
-            if (leads) {
-                add_priority_class(service, each);
+    for (const auto& source : parsed.routes) {
+        for (auto& service : parsed.services) {
+            const bool is_target =
+                source.service == service.name ||
+                std::any_of(source.split.begin(), source.split.end(),
+                            [&](const auto& target) { return target.service == service.name; });
+            if (is_target) {
+                add_priority_class(service, source);
             }
         }
     }
@@ -235,17 +238,17 @@
 
 absl::StatusOr<section_content> parse_section(std::string_view content, std::string_view source)
 {
-    const json_location top{std::string{source}, ""};
+    const json_location root{std::string{source}, ""};
     if (content.size() > max_section_bytes) {
-        return invalid_value(
-            top, str_cat("expected at most ", max_section_bytes, " bytes, found ", content.size()));
+        return invalid_value(root, str_cat("expected at most ", max_section_bytes, " bytes, found ",
+                                           content.size()));
     }
     const auto value = parse_json(content, source);
     if (!value.ok()) {
         return value.status();
     }
     section_content result;
-    if (auto status = schema::read_object(section_keys(), *value, top, result); !status.ok()) {
+    if (auto status = schema::read_object(section_keys(), *value, root, result); !status.ok()) {
         return status;
     }
     return result;
@@ -257,27 +260,27 @@
         return absl::FailedPreconditionError("the document has no section yet");
     }
     document result;
-    std::map<std::string, std::string> declared_in;
+    std::map<std::string, std::string> section_by_service;
     std::size_t bytes = 0;
-    for (const auto& each : sections) {
-        auto content = parse_section(each.content, str_cat("section ", each.name));
+    for (const auto& published : sections) {
+        auto content = parse_section(published.content, str_cat("section ", published.name));
         if (!content.ok()) {
             return content.status();
         }
-        bytes += each.content.size();
-        result.version = std::max(result.version, each.version);
+        bytes += published.content.size();
+        result.version = std::max(result.version, published.version);
         for (auto& service : content->services) {
-            const auto [first, is_new] = declared_in.emplace(service.name, each.name);
+            const auto [first, is_new] = section_by_service.emplace(service.name, published.name);
             if (!is_new) {
                 return absl::InvalidArgumentError(str_cat(
-                    "section ", each.name, ": services: expected a service that no other section ",
-                    "declares, found ", service.name, ", which section ", first->second,
-                    " declares"));
+                    "section ", published.name,
+                    ": services: expected a service that no other section ", "declares, found ",
+                    service.name, ", which section ", first->second, " declares"));
             }
             result.services.push_back(std::move(service));
         }
-        for (auto& each : content->routes) {
-            result.routes.push_back(std::move(each));
+        for (auto& declared : content->routes) {
+            result.routes.push_back(std::move(declared));
         }
     }
     if (auto status = check_routes(result); !status.ok()) {
@@ -291,9 +294,9 @@
     return result;
 }
 
-std::string class_name_of(const route& leading)
+std::string class_name_of(const route& classified)
 {
-    return str_cat(rank_prefix(leading.rank), leading.latency_target.count());
+    return str_cat(rank_prefix(classified.rank), classified.latency_target.count());
 }
 
 std::string rank_prefix(std::uint32_t rank)
@@ -307,11 +310,11 @@
     if (!value.ok()) {
         return value.status();
     }
-    json_location top{std::string{source}, ""};
-    // The author of the record may add keys that this version does not know.
-    top.unknown_keys_allowed = true;
+    json_location root{std::string{source}, ""};
+    // A newer author of the record may add keys that this version does not know.
+    root.unknown_keys_allowed = true;
     document result;
-    if (auto status = schema::read_object(record_keys(), *value, top, result); !status.ok()) {
+    if (auto status = schema::read_object(record_keys(), *value, root, result); !status.ok()) {
         return status;
     }
     if (auto status = check_routes(result); !status.ok()) {
--- a/lib/config/json_text.cpp
+++ b/lib/config/json_text.cpp
@@ -11,12 +11,13 @@
 
 using nlohmann::json;
 
-constexpr std::size_t max_quoted_value = 60;
+/// Longer values are cut in error messages.
+constexpr std::size_t max_quoted_bytes = 60;
 
-/// Finds duplicate keys while the parser runs; the parsed value keeps only the last of them.
+/// Detects duplicate keys during parsing, because the parsed value keeps only the last of them.
 class duplicate_key_finder {
 public:
-    explicit duplicate_key_finder(json_location top) : top_{std::move(top)} {}
+    explicit duplicate_key_finder(json_location root) : root_{std::move(root)} {}
 
     bool on_event(json::parse_event_t event, const json& parsed)
     {
@@ -24,7 +25,7 @@
         case json::parse_event_t::object_start:
         case json::parse_event_t::array_start:
             open_containers_.push_back(
-                {here(), event == json::parse_event_t::array_start, 0, {}, {}});
+                {current_location(), event == json::parse_event_t::array_start, 0, {}, {}});
             break;
         case json::parse_event_t::key:
             add_key(parsed.get<std::string>());
@@ -45,20 +46,22 @@
 
 private:
     struct container {
-        json_location at;
+        json_location location;
         bool is_array;
+        /// Of the next element of an array.
         std::size_t index;
+        /// Last key of an object.
         std::string key;
         std::set<std::string> keys;
     };
 
-    json_location here() const
+    json_location current_location() const
     {
         if (open_containers_.empty()) {
-            return top_;
+            return root_;
         }
         const auto& inner = open_containers_.back();
-        return inner.is_array ? inner.at.element(inner.index) : inner.at.key(inner.key);
+        return inner.is_array ? inner.location.element(inner.index) : inner.location.key(inner.key);
     }
 
     void add_key(const std::string& name)
@@ -66,7 +69,7 @@
         auto& object = open_containers_.back();
         object.key = name;
         if (!object.keys.insert(name).second && status_.ok()) {
-            status_ = invalid_value(here(), "expected the key only once");
+            status_ = invalid_value(current_location(), "expected the key only once");
         }
     }
 
@@ -77,12 +80,12 @@
         }
     }
 
-    json_location top_;
+    json_location root_;
     std::vector<container> open_containers_;
     absl::Status status_;
 };
 
-/// The library's messages start with an error code in brackets.
+/// Strips the error code in brackets from a message of the JSON library.
 std::string_view without_code(std::string_view message)
 {
     const auto end = message.find("] ");
@@ -112,16 +115,16 @@
 absl::Status invalid_value(const json_location& at, std::string_view expected, const json& found)
 {
     std::string text = found.dump(-1, ' ', false, json::error_handler_t::replace);
-    if (text.size() > max_quoted_value) {
-        text = str_cat(text.substr(0, max_quoted_value), "...");
+    if (text.size() > max_quoted_bytes) {
+        text = str_cat(text.substr(0, max_quoted_bytes), "...");
     }
     return invalid_value(at, str_cat("expected ", expected, ", found ", text));
 }
 
 absl::StatusOr<json> parse_json(std::string_view text, std::string_view source)
 {
-    const json_location top{std::string{source}, ""};
-    duplicate_key_finder finder{top};
+    const json_location root{std::string{source}, ""};
+    duplicate_key_finder finder{root};
     try {
         auto value = json::parse(
             text,
@@ -135,7 +138,7 @@
         return value;
     }
     catch (const json::exception& error) {
-        return invalid_value(top, str_cat("expected JSON, ", without_code(error.what())));
+        return invalid_value(root, str_cat("expected JSON, ", without_code(error.what())));
     }
 }
 
--- a/lib/config/json_text.h
+++ b/lib/config/json_text.h
@@ -10,23 +10,28 @@
 
 namespace chestnutstand {
 
-/// A file or section, and the path of a value in it.
+/// Location of a value: the file or section, and the path in it. Used in error messages.
 struct json_location {
+    /// Name of the file or section.
     std::string source;
+    /// Empty for the root value.
     std::string path;
-    /// Whether keys that the schema does not list are skipped instead of refused.
+    /// Whether keys that the schema does not list are ignored rather than refused.
     bool unknown_keys_allowed = false;
 
+    /// Location of a member of this object.
     json_location key(std::string_view name) const;
+    /// Location of an element of this array.
     json_location element(std::size_t index) const;
 };
 
-/// Error that names the place and the expected value.
+/// InvalidArgumentError that names the location and the expected value or the problem.
 absl::Status invalid_value(const json_location& at, std::string_view expected,
                            const nlohmann::json& found);
 absl::Status invalid_value(const json_location& at, std::string_view problem);
 
-/// Parses JSON with comments; duplicate keys of an object are an error.
+/// Parses JSON with comments. Duplicate keys of an object are an error; source names the file or
+/// section in errors.
 absl::StatusOr<nlohmann::json> parse_json(std::string_view text, std::string_view source);
 
 } // namespace chestnutstand
--- a/lib/config/log_tail.cpp
+++ b/lib/config/log_tail.cpp
@@ -14,16 +14,17 @@
 
 constexpr std::uint32_t max_page_records = 100;
 
-/// Checkpoints are due every 200 records, so the newest is usually found within twice as many.
-constexpr std::uint64_t first_search_distance = 400;
+/// Checkpoints are due every 200 records, so the newest is usually within the last 400.
+constexpr std::uint64_t initial_search_distance = 400;
 
 } // namespace
 
-/// Search for the newest usable checkpoint, from the end of the log backwards in growing steps.
+/// Search for the newest usable checkpoint: reads the last records of the log, and twice as many
+/// each time that there is none among them.
 struct log_tail::checkpoint_search {
     std::uint64_t oldest_retained = 0;
     std::uint64_t end = 0;
-    std::uint64_t distance = first_search_distance;
+    std::uint64_t distance = initial_search_distance;
     std::uint64_t first = 0;
     std::vector<wire::ConfigRecord> records;
 
@@ -32,15 +33,15 @@
         first = std::max(oldest_retained, end > distance ? end - distance : 0);
         records.clear();
     }
-    std::uint64_t next() const { return first + records.size(); }
+    std::uint64_t next_offset() const { return first + records.size(); }
 };
 
-log_tail::log_tail(control_loop& loop, log_client& log, target to)
-    : loop_{loop}, log_{log}, sink_{std::move(to)}, limit_{max_page_records}
+log_tail::log_tail(control_loop& loop, log_client& log, sink receiver)
+    : loop_{loop}, log_{log}, sink_{std::move(receiver)}, limit_{max_page_records}
 {
 }
 
-void log_tail::catch_up(caught_up done)
+void log_tail::catch_up(catch_up_done done)
 {
     waiting_.push_back(std::move(done));
     if (!reading_) {
@@ -70,9 +71,9 @@
         return;
     }
     const std::uint64_t next = sink_.next_offset();
-    const bool gap = page->first > next;
-    const bool long_log = next == 0 && page->next > first_search_distance;
-    if (gap || (long_log && !search_)) {
+    const bool has_gap = page->first > next;
+    const bool is_long = next == 0 && page->next > initial_search_distance;
+    if (has_gap || (is_long && !search_)) {
         begin_search(*page);
         return;
     }
@@ -100,11 +101,11 @@
 
 void log_tail::read_search()
 {
-    if (search_->next() >= search_->end) {
+    if (search_->next_offset() >= search_->end) {
         end_search();
         return;
     }
-    log_.read(config_stream, search_->next(), limit_, [this](absl::StatusOr<log_page> page) {
+    log_.read(config_stream, search_->next_offset(), limit_, [this](absl::StatusOr<log_page> page) {
         loop_.post([this, page = std::move(page)] { on_search_page(page); });
     });
 }
@@ -115,17 +116,17 @@
         on_error(page.status());
         return;
     }
-    for (const auto& each : page->records) {
-        if (each.offset != search_->next()) {
-            on_error(
-                absl::UnknownError(str_cat("the log has no record at offset ", search_->next())));
+    for (const auto& read : page->records) {
+        if (read.offset != search_->next_offset()) {
+            on_error(absl::UnknownError(
+                str_cat("the log has no record at offset ", search_->next_offset())));
             return;
         }
-        // A record that is not readable stays empty; replay counts it as malformed.
-        search_->records.emplace_back().ParseFromString(each.payload);
+        // A record that cannot be parsed stays empty; the replay treats it as malformed.
+        search_->records.emplace_back().ParseFromString(read.payload);
     }
     if (page->records.empty()) {
-        on_error(absl::UnknownError("records expired while they were read"));
+        on_error(absl::UnknownError("records expired during the search for a checkpoint"));
         return;
     }
     read_search();
@@ -155,7 +156,8 @@
                     " and has no usable checkpoint, expected records from ", sink_.next_offset())));
         return;
     }
-    // The log is whole but has no checkpoint; the search object marks that it was searched.
+    // The log has no checkpoint but is complete, so it is replayed from its start. search_ stays
+    // set, which keeps on_page() from searching again.
     read_next();
 }
 
@@ -174,15 +176,16 @@
     if (status.ok() == failing_) {
         failing_ = !failing_;
         log_event(failing_ ? log_level::warning : log_level::info,
-                  failing_ ? "configuration log not readable" : "configuration log readable again",
+                  failing_ ? "failed to read the configuration log"
+                           : "configuration log is readable again",
                   {{"error", std::string{status.message()}}});
     }
     search_.reset();
     reading_ = false;
     const auto done = std::move(active_);
     active_.clear();
-    for (const auto& each : done) {
-        each(status);
+    for (const auto& callback : done) {
+        callback(status);
     }
     if (!reading_ && !waiting_.empty()) {
         start();
--- a/lib/config/log_tail.h
+++ b/lib/config/log_tail.h
@@ -13,27 +13,29 @@
 
 namespace chestnutstand {
 
-/// Reads the configuration stream to its end, one request at a time. When records that are needed
-/// have expired, or a node without state would have to replay a long log, it starts from the newest
-/// usable checkpoint.
+/// Reads the configuration stream up to its end, one request at a time. When needed records have
+/// expired, or when a node without state would have to replay a long log, it starts from the newest
+/// usable checkpoint. Used on the control thread.
 class log_tail {
 public:
-    using caught_up = std::function<void(const absl::Status&)>;
+    using catch_up_done = std::function<void(const absl::Status&)>;
 
-    struct target {
-        /// Applies records in the order of their offsets; skips those that were applied before.
+    /// Receives the records that are read.
+    struct sink {
+        /// Applies records in the order of their offsets and skips those applied before.
         std::function<void(const std::vector<log_record>&)> apply;
+        /// Replaces the state by that of a checkpoint.
         std::function<absl::Status(const wire::Checkpoint&)> adopt;
         std::function<std::uint64_t()> next_offset;
     };
 
-    log_tail(control_loop& loop, log_client& log, target to);
+    log_tail(control_loop& loop, log_client& log, sink receiver);
 
     /// Calls back once all records that were in the log at the time of this call are applied, or
     /// reading failed.
-    void catch_up(caught_up done);
+    void catch_up(catch_up_done done);
 
-    bool reading() const { return reading_; }
+    bool is_reading() const { return reading_; }
 
 private:
     struct checkpoint_search;
@@ -50,10 +52,15 @@
 
     control_loop& loop_;
     log_client& log_;
-    target sink_;
-    std::vector<caught_up> waiting_;
-    std::vector<caught_up> active_;
+    sink sink_;
+    /// Callbacks that need another pass, because the log may have grown since the running one
+    /// began.
+    std::vector<catch_up_done> waiting_;
+    /// Callbacks of the pass that is running.
+    std::vector<catch_up_done> active_;
+    /// Set from the start of a search to the end of the pass, unless a checkpoint is found before.
     std::shared_ptr<checkpoint_search> search_;
+    /// Records per read; halved while responses are too large.
     std::uint32_t limit_;
     bool reading_ = false;
     bool failing_ = false;
--- a/lib/config/record_follower.cpp
+++ b/lib/config/record_follower.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr std::size_t max_hints = 4;
-/// Each call of the store costs the same whether it brings news or not, and every reader makes one
-/// for each change. With three, two may lose the store at the same time.
+/// Every reader makes one call of the store for each change, and a call costs the same with and
+/// without a new record. With three readers, two may lose their connection to the store at once.
 constexpr std::size_t readers_per_data_centre = 3;
 
 } // namespace
@@ -69,12 +69,12 @@
     reading_ = false;
     update_store_state(page.status());
     if (!page.ok()) {
-        // After a failure the offset may be gone; the newest record says all that matters.
+        // The store may no longer have the records from this offset on. The newest record suffices.
         next_offset_.reset();
         backoff_ = std::clamp(backoff_ * 2.0, options_.initial_backoff, options_.max_backoff);
         std::uniform_real_distribution<double> jitter{0.5, 1.0};
-        const bool trimmed = absl::IsOutOfRange(page.status());
-        schedule_read(trimmed ? milliseconds{0} : backoff_ * jitter(random_));
+        const bool has_expired = absl::IsOutOfRange(page.status());
+        schedule_read(has_expired ? milliseconds{0} : backoff_ * jitter(random_));
         return;
     }
     backoff_ = milliseconds{0};
@@ -103,7 +103,7 @@
               {{"status", status.ToString()}, {"version", version_}});
 }
 
-/// Whether the record has made a new document.
+/// Returns whether the record brought a new document into force.
 bool record_follower::apply(const std::string& text, const char* source)
 {
     auto parsed = parse_record(text, "document");
@@ -136,7 +136,7 @@
     if (position <= version_) {
         return;
     }
-    std::erase_if(hints_, [&](const auto& each) { return each.peer == peer; });
+    std::erase_if(hints_, [&](const auto& hint) { return hint.peer == peer; });
     if (hints_.size() == max_hints) {
         hints_.erase(hints_.begin());
     }
@@ -148,7 +148,7 @@
 
 void record_follower::fetch()
 {
-    std::erase_if(hints_, [this](const auto& each) { return each.position <= version_; });
+    std::erase_if(hints_, [this](const auto& hint) { return hint.position <= version_; });
     if (hints_.empty()) {
         return;
     }
@@ -182,11 +182,11 @@
 
 fetched_changes record_follower::handle_fetch(std::uint64_t position) const
 {
-    fetched_changes reply;
+    fetched_changes response;
     if (position < version_) {
-        reply.records.push_back({version_, record_text_});
+        response.records.push_back({version_, record_text_});
     }
-    return reply;
+    return response;
 }
 
 } // namespace chestnutstand
--- a/lib/config/schema.h
+++ b/lib/config/schema.h
@@ -25,17 +25,19 @@
     double highest;
 };
 
-/// What a text must look like.
+/// Format that a text must have.
 struct text_format {
+    /// Description for errors and documentation.
     std::string_view expected;
     bool (*matches)(std::string_view);
 };
 
-/// A key of an object of type T: its documentation and how it is read.
+/// A key of an object of type T: its documentation, and how its value is read into the object.
 template <typename T>
 struct key_rule {
     key_description description;
     bool required = false;
+    /// Keys of the value when it is an object, or of its elements when it is a list.
     std::vector<key_description> nested;
     bool nested_in_list = true;
     std::function<absl::Status(const nlohmann::json&, const json_location&, T&)> read;
@@ -63,7 +65,7 @@
     return value.count();
 }
 
-/// A number with a fractional part.
+/// A number that may have a fractional part.
 template <typename T, typename Number>
 key_rule<T> number(std::string_view name, std::string_view unit, limits range, Number T::*member)
 {
@@ -131,22 +133,22 @@
     return rule;
 }
 
-/// A text that is one of a few names; to_member converts the position of the name.
+/// A text that is one of the names; to_member converts the name to the value of the member.
 template <typename T, typename Member, typename Convert>
 key_rule<T> choice(std::string_view name, std::vector<std::string> names, std::size_t default_name,
                    Member T::*member, Convert to_member)
 {
     std::string expected;
-    for (const auto& each : names) {
-        expected += str_cat(expected.empty() ? "" : ", ", each);
+    for (const auto& option : names) {
+        expected += str_cat(expected.empty() ? "" : ", ", option);
     }
     key_rule<T> rule;
     rule.description = {std::string{name}, "string", "", expected, names.at(default_name)};
     rule.read = [names = std::move(names), expected, member,
                  to_member](const nlohmann::json& value, const json_location& at, T& out) {
-        for (const auto& each : names) {
-            if (value.is_string() && value.get_ref<const std::string&>() == each) {
-                out.*member = to_member(each);
+        for (const auto& option : names) {
+            if (value.is_string() && value.get_ref<const std::string&>() == option) {
+                out.*member = to_member(option);
                 return absl::OkStatus();
             }
         }
@@ -163,6 +165,7 @@
     return rule;
 }
 
+/// Reads all keys of an object. Keys that are missing and not required keep their value in out.
 template <typename T>
 absl::Status read_object(const object_schema<T>& keys, const nlohmann::json& value,
                          const json_location& at, T& out)
@@ -170,22 +173,22 @@
     if (!value.is_object()) {
         return invalid_value(at, "an object", value);
     }
-    std::size_t known = 0;
+    std::size_t keys_found = 0;
     for (const auto& rule : keys) {
         const auto found = value.find(rule.description.path);
-        const auto place = at.key(rule.description.path);
+        const auto location = at.key(rule.description.path);
         if (found != value.end()) {
-            ++known;
-            if (auto status = rule.read(*found, place, out); !status.ok()) {
+            ++keys_found;
+            if (auto status = rule.read(*found, location, out); !status.ok()) {
                 return status;
             }
         }
         else if (rule.required) {
             return invalid_value(
-                place, str_cat("required key is missing, expected ", rule.description.range));
+                location, str_cat("required key is missing, expected ", rule.description.range));
         }
     }
-    if (known == value.size() || at.unknown_keys_allowed) {
+    if (keys_found == value.size() || at.unknown_keys_allowed) {
         return absl::OkStatus();
     }
     std::string names;
@@ -204,6 +207,7 @@
     return absl::OkStatus();
 }
 
+/// Documentation of all keys, with those of nested objects; prefix is prepended to the paths.
 template <typename T>
 std::vector<key_description> describe(const object_schema<T>& keys, const std::string& prefix = "")
 {
@@ -220,7 +224,7 @@
     return all;
 }
 
-/// An object inside of another one.
+/// An object within an object.
 template <typename T, typename Item>
 key_rule<T> object(std::string_view name, const object_schema<Item>& item_keys, Item T::*member)
 {
@@ -262,7 +266,7 @@
     return rule;
 }
 
-/// A list of objects with a name each, none of them twice.
+/// A list of objects that have different names.
 template <typename T, typename Item>
 key_rule<T> named_list(std::string_view name, limits length, const object_schema<Item>& item_keys,
                        std::vector<Item> T::*member)
--- a/lib/config/settings_file.cpp
+++ b/lib/config/settings_file.cpp
@@ -17,8 +17,9 @@
 namespace chestnutstand {
 namespace {
 
-// Shares of the grace time: calls are taken while the news of the stop spreads, and what still runs
-// is ended in time for the process to stop by itself.
+// Shares of the grace time. Calls are still accepted during the first, while the other nodes learn
+// that this one stops. Calls that still run after the second are ended, which leaves the process
+// time to exit by itself.
 constexpr double lame_duck_share = 0.4;
 constexpr double drain_share = 0.9;
 constexpr std::size_t min_secret_length = 16;
@@ -196,15 +197,15 @@
         return value.status();
     }
     settings result;
-    const json_location top{std::string{file_name}, ""};
-    if (auto status = schema::read_object(settings_keys(), *value, top, result); !status.ok()) {
+    const json_location root{std::string{file_name}, ""};
+    if (auto status = schema::read_object(settings_keys(), *value, root, result); !status.ok()) {
         return status;
     }
     if (result.log_url.empty() == result.store_url.empty()) {
-        return invalid_value(top.key("log_url"), "expected either log_url or store_url");
+        return invalid_value(root.key("log_url"), "expected either log_url or store_url");
     }
     if (result.interface_for_callers == caller_interface::calls && result.cluster_secret.empty()) {
-        return invalid_value(top.key("cluster_secret"),
+        return invalid_value(root.key("cluster_secret"),
                              "required key is missing, expected a text of 16 to 256 bytes");
     }
     if (result.advertised_address.empty()) {
@@ -221,7 +222,7 @@
 {
     std::ifstream file{path, std::ios::binary};
     std::string text{std::istreambuf_iterator<char>{file}, {}};
-    // Reading a directory opens but fails on the first read.
+    // A directory can be opened; only the first read of it fails.
     if (!file.is_open() || file.bad()) {
         return absl::NotFoundError(str_cat(path, ": expected a readable file"));
     }
--- a/lib/config/settings_watch.cpp
+++ b/lib/config/settings_watch.cpp
@@ -10,6 +10,7 @@
 namespace chestnutstand {
 namespace {
 
+/// Parses a JSON object; an empty object when the text is not one.
 nlohmann::json parse_object_or_empty(const std::string& text)
 {
     auto parsed = parse_json(text, "settings");
@@ -45,18 +46,18 @@
                   {{"reason", std::string{text.status().message()}}});
         return std::nullopt;
     }
-    if (*text == seen_) {
+    if (*text == last_text_) {
         return std::nullopt;
     }
-    seen_ = *text;
-    auto parsed = parse_settings(seen_, path_);
+    last_text_ = *text;
+    auto parsed = parse_settings(last_text_, path_);
     if (!parsed.ok()) {
         log_event(log_level::error, "changed settings refused",
                   {{"reason", std::string{parsed.status().message()}}});
         return std::nullopt;
     }
-    auto keys = changed_settings(applied_, seen_);
-    applied_ = seen_;
+    auto keys = changed_settings(valid_text_, last_text_);
+    valid_text_ = last_text_;
     if (keys.empty()) {
         return std::nullopt;
     }
