--- a/unittests/config/change_replay_test.cpp
+++ b/unittests/config/change_replay_test.cpp
@@ -43,7 +43,7 @@
     return record;
 }
 
-/// All that must agree among replicas, as text.
+/// Text of the state that must be equal on all replicas.
 std::string state_text_of(const change_replay& replay)
 {
     if (replay.next_offset() == 0) {
@@ -55,7 +55,8 @@
     return str_cat(state.DebugString(), "in force: ", in_force);
 }
 
-// Guards against rules that accept a foreign team, a stale base version or an invalid document.
+// Guards against changes that are accepted from another team than the owner, with a stale base
+// version or with an invalid document.
 TEST(change_replay, gives_verdicts_with_explanations)
 {
     change_replay replay;
@@ -80,7 +81,7 @@
     EXPECT_EQ(replay.current()->version, 7U);
 }
 
-// Guards against a new section whose content gives it to another team than its author's.
+// Guards against a new section whose content names another owner than the team of its author.
 TEST(change_replay, new_section_belongs_to_its_author)
 {
     change_replay replay;
@@ -89,8 +90,8 @@
     EXPECT_EQ(replay.current(), nullptr);
 }
 
-// Guards against a change that takes effect long after its author gave up, when its id is no longer
-// remembered.
+// Guards against a change that takes effect long after its author gave up: its id is no longer
+// known by then, so a repetition would not be detected.
 TEST(change_replay, refuses_changes_that_reach_the_log_too_late)
 {
     change_replay replay;
@@ -106,17 +107,18 @@
         replay_result::accepted);
 }
 
-/// Picks by index, because RapidCheck cannot print messages.
+/// Picks a random element by its index, because RapidCheck cannot print protocol buffer messages.
 const wire::Checkpoint& pick_from(const std::vector<wire::Checkpoint>& states)
 {
     return states[*rc::gen::inRange<std::size_t>(0, states.size())];
 }
 
-/// Random log. Its records refer to what a first replica has replayed so far, so that most changes
-/// are close to being accepted.
+/// Random log. Its changes refer to the state that a first replica has replayed so far, so that
+/// many of them are valid or nearly so.
 struct log_model {
     std::vector<wire::ConfigRecord> records;
     change_replay first;
+    /// Checkpoints of the first replica after each record.
     std::vector<wire::Checkpoint> states;
 
     void add_random();
@@ -132,14 +134,14 @@
     const auto name = pick("section", 3);
     std::uint64_t base = 0;
     std::string owner = pick("team", 2);
-    for (const auto& each : first.state().sections) {
-        if (each.name == name) {
-            base = *rc::gen::weightedElement<std::uint64_t>({{4, each.version}, {1, 0}});
-            owner = *rc::gen::weightedElement<std::string>({{4, each.owner}, {1, owner}});
+    for (const auto& current : first.state().sections) {
+        if (current.name == name) {
+            base = *rc::gen::weightedElement<std::uint64_t>({{4, current.version}, {1, 0}});
+            owner = *rc::gen::weightedElement<std::string>({{4, current.owner}, {1, owner}});
         }
     }
     const auto team = *rc::gen::weightedElement<std::string>({{4, owner}, {1, pick("team", 2)}});
-    // Few services and ids, so that duplicates are frequent.
+    // Few service names and change ids, so that duplicates are frequent.
     const auto content = content_of(owner, pick("service", 6));
     records.push_back(make_change(pick("id", 40), team, name, base, content));
 }
@@ -147,14 +149,14 @@
 void log_model::add_checkpoint()
 {
     auto checkpoint = pick_from(states);
-    const int damage = *rc::gen::inRange(0, 6);
-    if (damage == 0 && checkpoint.sections_size() > 0) {
+    const int corruption = *rc::gen::inRange(0, 6);
+    if (corruption == 0 && checkpoint.sections_size() > 0) {
         checkpoint.mutable_sections(0)->set_content(content_of("evil", "other"));
     }
-    else if (damage == 1) {
+    else if (corruption == 1) {
         checkpoint.set_covered_offset(checkpoint.covered_offset() + 1000);
     }
-    else if (damage == 2) {
+    else if (corruption == 2) {
         checkpoint.set_version(checkpoint.version() + 1);
     }
     records.push_back(make_record(checkpoint));
@@ -193,8 +195,8 @@
     }
 }
 
-// Guards against replicas that end in different states although they saw the same log: in order, in
-// chunks with duplicates and records out of place, or starting from any state of another replica.
+// Guards against replicas that replay the same log to different states: in order, in chunks with
+// repeated and misplaced records, or starting from any state of another replica.
 TEST(change_replay, replicas_agree)
 {
     EXPECT_TRUE(rc::check([] {
@@ -203,7 +205,7 @@
 
         change_replay in_chunks;
         while (in_chunks.next_offset() < log.records.size()) {
-            // Each chunk repeats some records and brings at least one new.
+            // Each chunk repeats some records and has at least one new record.
             const auto next = in_chunks.next_offset();
             const auto from = next - *rc::gen::inRange<std::size_t>(0, next + 1);
             const auto end = next + 1 + *rc::gen::inRange<std::size_t>(0, 10);
@@ -221,17 +223,17 @@
     }));
 }
 
-// Guards against a node that starts after old records have expired and ends in another state. The
-// checkpoints in this log are undamaged.
+// Guards against a node that starts after old records have expired and replays to another state.
+// All checkpoints in this log are correct.
 TEST(change_replay, replicas_agree_after_expiry)
 {
     EXPECT_TRUE(rc::check([] {
         log_model log;
         const int length = *rc::gen::inRange(5, 60);
         for (int i = 0; i < length; ++i) {
-            const bool checkpoint = !log.states.empty() && *rc::gen::inRange(0, 5) == 0;
-            checkpoint ? log.records.push_back(make_record(pick_from(log.states)))
-                       : log.add_change();
+            const bool is_checkpoint = !log.states.empty() && *rc::gen::inRange(0, 5) == 0;
+            is_checkpoint ? log.records.push_back(make_record(pick_from(log.states)))
+                          : log.add_change();
             log.first.apply(log.records.size() - 1, log.records.back());
             log.states.push_back(log.first.make_checkpoint());
         }
@@ -250,7 +252,8 @@
     }));
 }
 
-// Guards against versions that fall, and against any record or checkpoint that makes them fall.
+// Guards against a record or a checkpoint that decreases the version of the document or of a
+// section.
 TEST(change_replay, versions_never_decrease)
 {
     EXPECT_TRUE(rc::check([] {
@@ -261,9 +264,9 @@
             RC_ASSERT(replay.version() >= before);
             // The inner parentheses keep the short-circuit evaluation.
             RC_ASSERT((!replay.current() || replay.current()->version == replay.version()));
-            for (const auto& each : replay.state().sections) {
-                RC_ASSERT(each.version >= versions[each.name]);
-                versions[each.name] = each.version;
+            for (const auto& current : replay.state().sections) {
+                RC_ASSERT(current.version >= versions[current.name]);
+                versions[current.name] = current.version;
             }
             RC_ASSERT(replay.state().sections.size() == versions.size());
         };
@@ -274,8 +277,8 @@
                 (void)replay.adopt(log.states[pick]);
             }
             else {
-                const bool next = replay.next_offset() < log.records.size();
-                const auto offset = next ? replay.next_offset() : pick;
+                const bool has_next = replay.next_offset() < log.records.size();
+                const auto offset = has_next ? replay.next_offset() : pick;
                 replay.apply(offset, log.records[offset]);
             }
             check_versions(before);
@@ -283,7 +286,7 @@
     }));
 }
 
-// Guards against a checkpoint record that changes the state of a node that has one.
+// Guards against a checkpoint record that changes the state of a node that already has a state.
 TEST(change_replay, checkpoint_records_never_change_the_state)
 {
     EXPECT_TRUE(rc::check([] {
@@ -302,25 +305,26 @@
     }));
 }
 
-// Guards against a wrong checkpoint that is confirmed and lets the records before it expire.
+// Guards against the confirmation of a wrong checkpoint, after which the records before it may
+// expire.
 TEST(change_replay, only_equal_checkpoints_are_confirmed)
 {
     EXPECT_TRUE(rc::check([] {
         auto log = random_log();
         auto checkpoint = pick_from(log.states);
-        const auto untouched = checkpoint;
-        const int damage = *rc::gen::inRange(0, 4);
-        if (damage == 1 && checkpoint.sections_size() > 0) {
+        const auto original = checkpoint;
+        const int corruption = *rc::gen::inRange(0, 4);
+        if (corruption == 1 && checkpoint.sections_size() > 0) {
             checkpoint.mutable_sections(0)->set_owner("evil");
         }
-        else if (damage == 2) {
+        else if (corruption == 2) {
             checkpoint.set_version(checkpoint.version() + 1);
         }
-        else if (damage == 3 && checkpoint.recent_changes_size() > 0) {
+        else if (corruption == 3 && checkpoint.recent_changes_size() > 0) {
             auto& change = *checkpoint.mutable_recent_changes(0);
             change.set_accepted(!change.accepted());
         }
-        const bool equal = checkpoint.SerializeAsString() == untouched.SerializeAsString();
+        const bool equal = checkpoint.SerializeAsString() == original.SerializeAsString();
         const auto verdict = log.first.apply(log.records.size(), make_record(checkpoint));
         RC_ASSERT(verdict.result == (equal ? replay_result::checkpoint_confirmed
                                            : replay_result::checkpoint_refused));
@@ -328,7 +332,8 @@
     }));
 }
 
-// Guards against a foreign team that changes a section, and a change id that is applied twice.
+// Guards against a change of a section by another team than its owner, and against a change id that
+// is applied twice.
 TEST(change_replay, only_the_owner_changes_a_section_and_ids_apply_once)
 {
     EXPECT_TRUE(rc::check([] {
@@ -337,8 +342,8 @@
         std::map<std::string, int> accepted;
         for (std::size_t offset = 0; offset < log.records.size(); ++offset) {
             std::map<std::string, std::string> owners;
-            for (const auto& each : replay.state().sections) {
-                owners[each.name] = each.owner;
+            for (const auto& current : replay.state().sections) {
+                owners[current.name] = current.owner;
             }
             const auto verdict = replay.apply(offset, log.records[offset]);
             if (verdict.result != replay_result::accepted) {
@@ -352,8 +357,9 @@
     }));
 }
 
-// Guards against a race of which the first change by offset does not win, or more than one wins.
-TEST(change_replay, first_of_racing_changes_wins)
+// Guards against concurrent changes of one section of which another than the first by offset is
+// accepted, or more than one.
+TEST(change_replay, first_of_concurrent_changes_is_accepted)
 {
     EXPECT_TRUE(rc::check([] {
         change_replay replay;
@@ -363,8 +369,8 @@
         }
         const std::uint64_t base = replay.version();
         const std::uint64_t start = replay.next_offset();
-        const auto racers = *rc::gen::inRange<std::uint64_t>(2, 6);
-        for (std::uint64_t i = 0; i < racers; ++i) {
+        const auto concurrent_changes = *rc::gen::inRange<std::uint64_t>(2, 6);
+        for (std::uint64_t i = 0; i < concurrent_changes; ++i) {
             const auto id = str_cat("racer", i);
             const auto verdict = replay.apply(
                 start + i, make_change(id, "t", "a", base, content_of("t", id), start));
--- a/unittests/config/fakes.h
+++ b/unittests/config/fakes.h
@@ -20,7 +20,7 @@
 
 namespace chestnutstand {
 
-/// Log service in memory with switchable faults. All faults may be set from any thread.
+/// Log service in memory with faults that can be injected. Thread-safe.
 class fake_log : public log_client {
 public:
     enum class append_fault { none, refused, response_lost, request_lost };
@@ -95,7 +95,7 @@
     std::size_t records_read_ = 0;
 };
 
-/// Hands fetches to the services of other fake nodes.
+/// Passes fetches on to the handlers of the other fake nodes; all other calls are ignored.
 class fake_peers : public peer_client {
 public:
     using fetch_handler = std::function<void(std::uint64_t, changes_done)>;
@@ -134,7 +134,7 @@
     std::map<std::uint64_t, fetch_handler> handlers_;
 };
 
-/// Waits until a condition holds; false after a safety timeout.
+/// Waits until a condition holds; returns false when it does not within 30 s.
 template <typename Condition>
 bool eventually(Condition condition)
 {
@@ -154,7 +154,8 @@
         : reference_{options.instance, "127.0.0.1", 1}, service_{std::make_unique<config_service>(
                                                             options, loop_, log, peers)}
     {
-        // Without waiting, because two nodes may fetch from each other.
+        // Posts without waiting for the result: two nodes that fetch from each other would
+        // deadlock.
         peers.add(options.instance,
                   [this](std::uint64_t from, const peer_client::changes_done& done) {
                       loop_.post([this, from, done] { done(service_->handle_fetch(from)); });
@@ -171,7 +172,7 @@
     ~fake_node()
     {
         loop_.stop();
-        EXPECT_TRUE(std::is_sorted(versions_.begin(), versions_.end())) << "a version fell";
+        EXPECT_TRUE(std::is_sorted(versions_.begin(), versions_.end())) << "a version decreased";
     }
 
     template <typename Work>
--- a/unittests/config/http_log_client_test.cpp
+++ b/unittests/config/http_log_client_test.cpp
@@ -5,7 +5,7 @@
 namespace chestnutstand {
 namespace {
 
-/// Answers every request with the same result.
+/// HTTP client that returns the same result for every request and records the last request.
 class fake_http : public http_client {
 public:
     request_id send(const std::string& base_url, http_request request, milliseconds /*timeout*/,
@@ -18,7 +18,7 @@
     }
     void cancel(request_id /*id*/) override {}
 
-    void answer(int status, const std::string& body) { result.response = {status, {}, body}; }
+    void set_response(int status, const std::string& body) { result.response = {status, {}, body}; }
 
     std::string last_url;
     http_request last;
@@ -44,15 +44,15 @@
     http_log_client client_{http_, "http://127.0.0.1:9000"};
 };
 
-// Guards against requests and responses that differ from the log service's protocol.
-TEST_F(http_log_client_test, speaks_the_protocol_of_the_log_service)
+// Guards against requests that the log service does not accept and responses that are misread.
+TEST_F(http_log_client_test, follows_the_log_service_protocol)
 {
-    http_.answer(200, R"({"offset": 12})");
+    http_.set_response(200, R"({"offset": 12})");
     EXPECT_EQ(append().value(), 12U);
     EXPECT_EQ(http_.last_url, "http://127.0.0.1:9000/streams/config/records");
     EXPECT_EQ(http_.last.method, "POST");
     EXPECT_EQ(http_.last.body, "payload");
-    http_.answer(200, R"({"first": 3, "next": 9, "records": [
+    http_.set_response(200, R"({"first": 3, "next": 9, "records": [
         {"offset": 7, "age_ms": 1.5, "payload": "AAE="}]})");
     const auto page = read();
     ASSERT_TRUE(page.ok()) << page.status();
@@ -63,7 +63,7 @@
     EXPECT_EQ(page->records[0].payload, (std::string{'\0', '\1'}));
 }
 
-// Guards against an append that may have taken effect being reported as not appended.
+// Guards against an append that is reported as not appended although it may have taken effect.
 TEST_F(http_log_client_test, only_a_refused_connection_proves_that_nothing_was_appended)
 {
     http_.result.error = http_error::connect_failed;
@@ -76,19 +76,19 @@
     }
     http_.result.error = http_error::none;
     for (const int status : {404, 500, 503}) {
-        http_.answer(status, "");
+        http_.set_response(status, "");
         EXPECT_EQ(append().status().code(), absl::StatusCode::kUnknown);
     }
 }
 
-// Guards against a malformed page that stops the node or is taken for an empty one.
+// Guards against a malformed response that crashes the node or is read as an empty page.
 TEST_F(http_log_client_test, malformed_responses_are_errors)
 {
     for (const char* body :
          {"", "[]", "{}", R"({"first": -1, "next": 0, "records": []})",
           R"({"first": 0, "next": 1, "records": [{"offset": 0, "payload": "?"}]})",
           R"({"first": 0, "next": 1, "records": [{"payload": "AAE="}]})"}) {
-        http_.answer(200, body);
+        http_.set_response(200, body);
         EXPECT_FALSE(read().ok()) << body;
         EXPECT_FALSE(append().ok()) << body;
     }
--- a/unittests/config/record_follower_test.cpp
+++ b/unittests/config/record_follower_test.cpp
@@ -19,7 +19,7 @@
     return str_cat(R"({"version": )", version, R"(, "services": [], "routes": []})");
 }
 
-/// Store whose reads are answered by the test.
+/// Store whose pending reads are completed by the test.
 class fake_store final : public keyed_store {
 public:
     struct read {
@@ -35,12 +35,13 @@
         add({false, from, std::move(done)});
     }
 
-    std::size_t waiting()
+    std::size_t pending_reads()
     {
         const std::lock_guard lock{mutex_};
         return reads_.size();
     }
 
+    /// Waits for the next pending read and removes it.
     read next()
     {
         std::unique_lock lock{mutex_};
@@ -55,10 +56,10 @@
     }
 
 private:
-    void add(read added)
+    void add(read pending)
     {
         const std::lock_guard lock{mutex_};
-        reads_.push_back(std::move(added));
+        reads_.push_back(std::move(pending));
         arrived_.notify_all();
     }
 
@@ -84,7 +85,7 @@
         });
     }
 
-    /// Runs on the control thread and waits.
+    /// Runs work on the control thread and waits for its end.
     template <typename Work>
     void on_control(Work work)
     {
@@ -102,16 +103,16 @@
         return document ? document->version : 0;
     }
 
-    /// Answers the next read, which must be of the newest records.
-    void answer_newest(int version_found, std::uint64_t next)
+    /// Completes the next read, which must be of the newest records, with a record of a version.
+    void complete_newest_read(int version_found, std::uint64_t next)
     {
         const auto read = store_.next();
         EXPECT_TRUE(read.newest);
         read.done(keyed_page{{{"k", record_of(version_found), next - 1}}, next});
     }
 
-    /// Lets the follower do all that it has queued.
-    void settle()
+    /// Lets the control thread run all tasks that the follower has posted.
+    void run_posted_tasks()
     {
         for (int i = 0; i < 3; ++i) {
             on_control([] {});
@@ -124,10 +125,10 @@
     std::unique_ptr<record_follower> follower_;
 };
 
-// Guards against a node that misses a change between its first read and its long reads.
+// Guards against a node that misses a record between its first read and the long polls.
 TEST_F(record_follower_test, follows_from_the_newest_record)
 {
-    answer_newest(3, 5);
+    complete_newest_read(3, 5);
     const auto follow = store_.next();
     EXPECT_FALSE(follow.newest);
     EXPECT_EQ(follow.from, 5U);
@@ -137,26 +138,27 @@
     EXPECT_EQ(version(), 6U);
 }
 
-// Guards against a configuration that goes back, and against one that a damaged record replaces.
-TEST_F(record_follower_test, ignores_older_and_damaged_records)
+// Guards against a document that is replaced by an older one or by an invalid record.
+TEST_F(record_follower_test, ignores_older_and_invalid_records)
 {
-    answer_newest(6, 5);
+    complete_newest_read(6, 5);
     store_.next().done(keyed_page{{{"k", record_of(4), 5}, {"k", "{\"version\": 9", 6}}, 7});
     EXPECT_EQ(store_.next().from, 7U);
     EXPECT_EQ(version(), 6U);
 }
 
-// Guards against a node that waits for records which the store has dropped.
+// Guards against a node that keeps polling from an offset whose records the store has dropped.
 TEST_F(record_follower_test, reads_the_newest_again_when_records_are_gone)
 {
-    answer_newest(3, 5);
+    complete_newest_read(3, 5);
     store_.next().done(absl::OutOfRangeError("dropped"));
-    answer_newest(8, 20);
+    complete_newest_read(8, 20);
     EXPECT_EQ(store_.next().from, 20U);
     EXPECT_EQ(version(), 8U);
 }
 
-// Guards against an old document in a node that is cut from the store while its peers are not.
+// Guards against a node that keeps an old document when it cannot reach the store but its peers
+// can.
 TEST_F(record_follower_test, takes_a_newer_document_from_a_peer)
 {
     store_.next().done(absl::UnavailableError("down"));
@@ -175,30 +177,31 @@
     });
 }
 
-// Guards against a fleet in which every node asks the store for every change.
+// Guards against a load on the store that grows with the number of nodes, because every node reads
+// every change from it.
 TEST_F(record_follower_test, leaves_the_store_to_the_readers)
 {
     on_control([&] { follower_->set_tailing(false); });
-    answer_newest(3, 5);
-    settle();
+    complete_newest_read(3, 5);
+    run_posted_tasks();
     EXPECT_EQ(version(), 3U);
-    EXPECT_EQ(store_.waiting(), 0U);
+    EXPECT_EQ(store_.pending_reads(), 0U);
 }
 
-// Guards against a node that keeps an old document because the peer that announced a newer one
-// cannot be reached.
+// Guards against a node that keeps an old document because the peer that has a newer one cannot be
+// reached.
 TEST_F(record_follower_test, reads_the_store_when_a_peer_cannot_be_asked)
 {
     on_control([&] { follower_->set_tailing(false); });
-    answer_newest(3, 5);
-    settle();
+    complete_newest_read(3, 5);
+    run_posted_tasks();
     on_control([&] { follower_->hint({7, "127.0.0.1", 1}, 4); });
     const auto follow = store_.next();
     EXPECT_EQ(follow.from, 5U);
     follow.done(keyed_page{{{"k", record_of(4), 5}}, 6});
-    settle();
+    run_posted_tasks();
     EXPECT_EQ(version(), 4U);
-    EXPECT_EQ(store_.waiting(), 0U);
+    EXPECT_EQ(store_.pending_reads(), 0U);
 }
 
 } // namespace
--- a/unittests/config/schema_test.cpp
+++ b/unittests/config/schema_test.cpp
@@ -19,19 +19,19 @@
                    "| ", key.range, " | ", key.default_value, " | ");
 }
 
-/// Rows of the table below a heading, without the header.
+/// Rows of the table below a heading of the settings page, without the header.
 std::vector<std::string> documented_rows(const std::string& heading)
 {
     const auto text = read_file(SETTINGS_PAGE);
     EXPECT_TRUE(text.ok()) << text.status();
     std::istringstream lines{text.value_or("")};
     std::vector<std::string> rows;
-    bool inside = false;
+    bool is_in_section = false;
     for (std::string line; std::getline(lines, line);) {
         if (line.rfind("## ", 0) == 0) {
-            inside = line == "## " + heading;
+            is_in_section = line == "## " + heading;
         }
-        if (inside && line.rfind("| `", 0) == 0) {
+        if (is_in_section && line.rfind("| `", 0) == 0) {
             rows.push_back(line);
         }
     }
@@ -48,7 +48,8 @@
     }
 }
 
-// Guards against a page that differs from the schema in a key, a unit, a range or a default.
+// Guards against a settings page that differs from the schema in a key, a unit, a range or a
+// default.
 TEST(settings_page, equals_the_schema)
 {
     expect_documented(describe_settings(), "Settings file");
@@ -67,8 +68,8 @@
            "}]}";
 }
 
-// Guards against invalid sections that are accepted or refused without the place and the expected
-// value.
+// Guards against invalid sections that are accepted, and against errors that lack the location or
+// the expected value.
 TEST(section, refuses_invalid_values)
 {
     EXPECT_EQ(error_of(service("")), "");
@@ -94,7 +95,7 @@
     EXPECT_EQ(error_of("{").rfind("main: expected JSON, parse error at line 1", 0), 0U);
 }
 
-// Guards against a document that is in force before any section was published.
+// Guards against an empty document that comes into force before any section is published.
 TEST(section, no_section_is_no_document)
 {
     EXPECT_EQ(parse_document({}).status().code(), absl::StatusCode::kFailedPrecondition);
--- a/unittests/config/settings_file_test.cpp
+++ b/unittests/config/settings_file_test.cpp
@@ -19,13 +19,14 @@
     return std::string{parse_settings(text, "node.json").status().message()};
 }
 
+/// The minimal settings with more keys.
 std::string with(const std::string& more)
 {
     const std::string text{minimal};
     return text.substr(0, text.rfind('}')) + "," + more + "}";
 }
 
-// Guards against comments that are refused and defaults that are lost.
+// Guards against comments that are refused and defaults that are not set.
 TEST(settings_file, reads_values_and_defaults)
 {
     const auto parsed = parse_settings(with(R"("admin_port": 8001, "log_level": "warning",
@@ -42,8 +43,8 @@
     EXPECT_EQ(parsed->drain_limit_ms, 30'000);
 }
 
-// Guards against an error that does not tell the file, the key and the expected value.
-TEST(settings_file, names_file_key_and_expected_value)
+// Guards against errors that lack the file, the key or the expected value.
+TEST(settings_file, errors_name_file_key_and_expected_value)
 {
     EXPECT_EQ(error_of(with(R"("admin_port": 70000)")),
               "node.json: admin_port: expected an integer in 0..65535, found 70000");
--- a/unittests/config/settings_watch_test.cpp
+++ b/unittests/config/settings_watch_test.cpp
@@ -23,7 +23,7 @@
     settings_watch watch_{path_, first_text};
 };
 
-// Guards against a change that is missed, or that is applied again and again.
+// Guards against a change that is missed or reported more than once.
 TEST_F(settings_watch_test, reports_each_change_once_with_its_keys)
 {
     write(first_text);
@@ -37,18 +37,18 @@
     EXPECT_FALSE(watch_.poll());
 }
 
-// Guards against a half-written or damaged file that takes the settings away.
+// Guards against a missing, half-written or invalid file that replaces the valid settings.
 TEST_F(settings_watch_test, keeps_the_settings_when_the_file_is_not_valid)
 {
-    EXPECT_FALSE(watch_.poll()) << "there is no file";
+    EXPECT_FALSE(watch_.poll()) << "the file does not exist";
     write("{\"data_centre\": ");
     EXPECT_FALSE(watch_.poll());
     write(first_text);
-    EXPECT_FALSE(watch_.poll()) << "back to what is in force";
+    EXPECT_FALSE(watch_.poll()) << "the content is that of the start again";
 }
 
-// Guards against a comment or another order of keys that passes for a change.
-TEST_F(settings_watch_test, ignores_what_changes_no_value)
+// Guards against a new comment or another order of the keys that is reported as a change.
+TEST_F(settings_watch_test, ignores_edits_that_change_no_value)
 {
     write(R"({"log_url": "http://127.0.0.1:1", // the log
         "data_centre": "howrah", "cluster_secret": "secret of the test"})");
