--- a/include/chestnutstand/transport/http_server.h
+++ b/include/chestnutstand/transport/http_server.h
@@ -55,7 +55,7 @@
     /// Limits that take the place of the fixed ones when a request begins; called on any thread.
     std::function<http_server_limits()> current_limits;
     /// Makes the response to a request that the server refuses itself; by default plain text.
-    std::function<http_response(const request_refusal&)> refuse;
+    std::function<http_response(const request_refusal&)> make_refusal_response;
 };
 
 /// HTTP/1.1 server. The requests of one connection are handled one after the other; a malformed
--- a/lib/node/components/ingress_component.cpp
+++ b/lib/node/components/ingress_component.cpp
@@ -35,7 +35,7 @@
         options.port = at.port;
         options.threads = own.http_threads;
         options.current_limits = [&node] { return limits_of(node); };
-        options.refuse = [this](const request_refusal& why) {
+        options.make_refusal_response = [this](const request_refusal& why) {
             return ingress_->refuse_unreadable(why);
         };
         server_ = std::make_unique<http_server>(
--- a/lib/transport/server_transport.cpp
+++ b/lib/transport/server_transport.cpp
@@ -173,7 +173,7 @@
 
 void server_transport::refuse(connection& client, const request_refusal& why)
 {
-    const auto& make = shared_->options.refuse;
+    const auto& make = shared_->options.make_refusal_response;
     const http_response response = make ? make(why) : plain_text_refusal(why);
     client.closing = true;
     client.framer.discard();
