--- a/include/chestnutstand/transport/call.h
+++ b/include/chestnutstand/transport/call.h
@@ -26,10 +26,11 @@
     /// Without hop-by-hop headers.
     std::vector<http_header> headers;
     std::string body;
-    /// Forbids a pooled connection, which may have gone silent since its last use.
+    /// Sends the request on a new connection, as a pooled one may have died unnoticed.
     bool fresh_connection = false;
-    /// Name of a header that the response has to repeat; empty when there is none. A connection
-    /// with another response is not used again: the one that belongs to the request may still come.
+    /// Name of a header that the response must return with the value of the request; empty for
+    /// none. A connection that delivers a mismatched response is not reused, as the response to
+    /// this request may still arrive on it.
     std::string echoed_header{};
 };
 
@@ -43,14 +44,14 @@
 /// SHA-256 digest of a request.
 using fingerprint = std::array<std::uint8_t, 32>;
 
-/// How often a call may run, and what decides about it.
+/// Whether a call may run more than once, and which setting decides that.
 enum class repeatability : std::uint8_t {
-    by_class,     ///< The priority class says so; a call that must not repeat carries a key.
-    repeatable,   ///< The route of the call allows it to run more than once.
-    at_most_once, ///< The route forbids it, and the request id identifies the call.
+    by_class,     ///< Decided by the priority class; a non-repeatable call carries a key.
+    repeatable,   ///< The route allows the call to run more than once.
+    at_most_once, ///< The route forbids it; the request id identifies the call.
 };
 
-/// A call as it travels from ingress to the upstream.
+/// A call as it is passed from the ingress to the upstream.
 struct service_call {
     std::string service;
     std::string priority;
@@ -59,12 +60,12 @@
     /// Attempts left for the whole call tree below this call.
     std::uint32_t retry_budget = 0;
     repeatability repeat = repeatability::by_class;
-    /// Whether the sender can place the call elsewhere instead of having it wait for a slow
-    /// upstream.
+    /// Whether the sender can dispatch the call to another node, so that the call need not wait for
+    /// a slow upstream.
     bool movable = false;
-    /// Empty for a call without a key.
+    /// Empty for a call without an idempotency key.
     std::string idempotency_key;
-    /// Unique per attempt; the upstream echoes it.
+    /// Unique per attempt; the upstream returns it in its response.
     std::string request_id;
     http_request request;
     /// Null when the call cannot be cancelled.
@@ -76,26 +77,26 @@
     std::uint32_t length = 0;
 };
 
-/// Load of a node's upstream as the node itself knows it.
+/// Load of a node's upstream as observed by that node.
 struct load_report {
     std::uint64_t instance = 0;
     std::uint32_t in_flight = 0;
     std::uint32_t limit = 0;
     std::vector<queue_length> queues;
     milliseconds latency{0};
-    /// How long work takes on the upstream's VM at this moment; 1 for the usual time.
+    /// Current duration of work on the upstream's VM relative to its usual duration, which is 1.
     double pace = 1.0;
     bool draining = false;
     bool upstream_registered = false;
 };
 
-/// How a call ended.
+/// Outcome of a call and the response, if there is one.
 struct call_result {
     call_outcome outcome = call_outcome::unknown;
     reason_code reason = reason_code::internal;
     /// Set when the outcome is completed.
     http_response response;
-    /// Load of the executor, when the result came from one.
+    /// Load of the executing node; set only when that node sent the result.
     std::optional<load_report> load;
 };
 
--- a/include/chestnutstand/transport/cancellation.h
+++ b/include/chestnutstand/transport/cancellation.h
@@ -7,12 +7,13 @@
 
 namespace chestnutstand {
 
-/// Tells everybody who works on a call that its result is no longer wanted.
+/// Cancellation signal of a call, shared by everything that works on it. Thread-safe.
 class cancellation {
 public:
     using listener = std::function<void()>;
 
-    /// Runs the listener on cancellation, at once if that has already happened.
+    /// Runs the listener on cancellation, in the thread that cancels; runs it at once in the
+    /// calling thread when the call is already cancelled.
     void on_cancel(listener notify)
     {
         {
@@ -25,7 +26,7 @@
         notify();
     }
 
-    /// Idempotent; callable from any thread.
+    /// Idempotent.
     void cancel()
     {
         std::vector<listener> listeners;
--- a/include/chestnutstand/transport/headers.h
+++ b/include/chestnutstand/transport/headers.h
@@ -9,7 +9,7 @@
 
 namespace chestnutstand {
 
-/// Headers of the interfaces to callers and upstreams.
+/// Default names of the headers exchanged with callers and upstreams.
 namespace header {
 inline constexpr std::string_view priority = "Chestnut-Priority";
 inline constexpr std::string_view timeout_ms = "Chestnut-Timeout-Ms";
@@ -22,8 +22,8 @@
 inline constexpr std::string_view idempotency_key = "Idempotency-Key";
 } // namespace header
 
-/// Names of the headers in one deployment; by default those of chestnutstand's own interface. A
-/// header whose name is empty is neither sent nor read.
+/// Header names that a deployment uses, by default those of chestnutstand's own interface. A header
+/// with an empty name is neither sent nor read.
 struct header_names {
     std::string request_id{header::request_id};
     std::string timeout_ms{header::timeout_ms};
@@ -33,34 +33,34 @@
     std::string idempotency_key{header::idempotency_key};
     std::string outcome{header::outcome};
     std::string reason{header::reason};
-    /// Says that the upstream did not run the request.
+    /// Set by an upstream that did not run the request.
     std::string not_run{header::not_run};
-    /// Names the upstream process that a request is meant for.
+    /// Identifies the upstream process that the request is addressed to.
     std::string upstream_id;
-    /// Names the service on whose VM a request began.
+    /// Service on whose VM the request originated.
     std::string origin_service;
-    /// Load that an upstream reports with its responses.
+    /// Load that an upstream reports in its responses.
     std::string upstream_load;
 };
 
-/// Compares header names without regard to case.
+/// Compares header names case-insensitively.
 bool header_name_equal(std::string_view left, std::string_view right);
 
-/// Text without the blanks and line ends around it.
+/// Removes leading and trailing spaces, tabs and line ends.
 std::string_view trim_whitespace(std::string_view text);
 
-/// Value of the first header with that name.
+/// Value of the first header with that name, which is compared case-insensitively.
 std::optional<std::string_view> find_header(const std::vector<http_header>& headers,
                                             std::string_view name);
 
-/// Removes the headers that concern one connection only (RFC 9110, 7.6.1), those that the
-/// Connection header names, and the message framing that the next hop sets itself.
+/// Removes hop-by-hop headers (RFC 9110, 7.6.1), the headers that Connection lists, and the framing
+/// headers, which are set again for the next hop.
 void remove_hop_by_hop_headers(std::vector<http_header>& headers);
 
-/// Removes the headers that only chestnutstand sets, under the names of the deployment.
+/// Removes the headers that only chestnutstand may set, under the names of the deployment.
 void remove_reserved_headers(std::vector<http_header>& headers, const header_names& names = {});
 
-/// Replaces all headers of a name by one with the given value.
+/// Replaces all headers of that name by a single one with the value.
 void set_header(std::vector<http_header>& headers, std::string_view name, std::string value);
 
 } // namespace chestnutstand
--- a/include/chestnutstand/transport/http_client.h
+++ b/include/chestnutstand/transport/http_client.h
@@ -10,14 +10,14 @@
 
 namespace chestnutstand {
 
-/// Why an HTTP exchange gave no whole response.
+/// Why an HTTP exchange yielded no complete response.
 enum class http_error : std::uint8_t {
     none,
     connect_failed,  ///< No byte of the request was sent.
     timed_out,       ///< The request may have been received.
     connection_lost, ///< The request may have been received.
-    truncated,       ///< The response was shorter than announced.
-    unframed,        ///< The response had neither a length nor chunked framing.
+    truncated,       ///< The response was shorter than its framing states.
+    unframed,        ///< The response had neither Content-Length nor chunked framing.
     too_large,       ///< The response exceeded the size limit.
     cancelled,
 };
@@ -28,7 +28,7 @@
     milliseconds elapsed{0};
 };
 
-/// Sends HTTP requests. Each callback runs exactly once, on the client's own thread.
+/// Asynchronous HTTP client. Each callback runs exactly once, on the client's own thread.
 class http_client {
 public:
     using request_id = std::uint64_t;
@@ -39,17 +39,17 @@
     http_client& operator=(const http_client&) = delete;
     virtual ~http_client() = default;
 
-    /// base_url is http://ip:port; the request's target is appended to it.
+    /// base_url has the form http://ip:port; the request's target is appended to it.
     virtual request_id send(const std::string& base_url, http_request request, milliseconds timeout,
                             http_done done) = 0;
 
-    /// Closes the connection of a running request; its callback gets http_error::cancelled.
+    /// Closes the connection of a running request, whose callback receives http_error::cancelled.
     virtual void cancel(request_id id) = 0;
 };
 
 inline constexpr std::size_t default_response_limit = std::size_t{8} << 20U;
 
-/// Client over libcurl's multi interface with one thread and pooled connections.
+/// Client based on libcurl's multi interface, with one thread and pooled connections.
 std::unique_ptr<http_client>
 make_http_client(std::size_t max_response_bytes = default_response_limit);
 
--- a/include/chestnutstand/transport/node_server.h
+++ b/include/chestnutstand/transport/node_server.h
@@ -13,8 +13,8 @@
 
 namespace chestnutstand {
 
-/// What a node does for other nodes. Methods run on gRPC threads and must not block; each callback
-/// must run exactly once.
+/// Handles requests from other nodes. Methods run on the server's threads and must not block; each
+/// callback must run exactly once.
 class node_handler {
 public:
     node_handler() = default;
@@ -25,7 +25,7 @@
     virtual void execute(std::uint64_t target_instance, service_call call, call_done done) = 0;
     virtual void forward(std::uint64_t target_instance, service_call call, bool query_only,
                          call_done done) = 0;
-    /// An error means that nothing is known or changed, and the query may be repeated.
+    /// An error means that the key's state is unknown and unchanged; the query may be repeated.
     virtual absl::StatusOr<settle_result> settle(std::uint64_t target_instance,
                                                  const std::string& key) = 0;
     virtual load_report probe() = 0;
@@ -33,7 +33,7 @@
     virtual void sync_members(std::vector<std::string> members, peer_client::members_done done) = 0;
 };
 
-/// Server for calls from other nodes.
+/// Server for requests from other nodes.
 class node_endpoint {
 public:
     node_endpoint() = default;
@@ -44,11 +44,12 @@
     virtual absl::Status start() = 0;
     virtual std::uint16_t port() const = 0;
 
-    /// Ends the calls that still run, over gRPC after the limit and over HTTP at once. Idempotent.
-    virtual void stop(milliseconds limit) = 0;
+    /// Cancels the calls still running: the gRPC server after the timeout, the HTTP server at once.
+    /// Idempotent.
+    virtual void stop(milliseconds timeout) = 0;
 };
 
-/// Over gRPC.
+/// gRPC server.
 class node_server final : public node_endpoint {
 public:
     node_server(std::string address, std::uint16_t port, node_handler& handler);
@@ -56,21 +57,21 @@
 
     absl::Status start() override;
     std::uint16_t port() const override;
-    void stop(milliseconds limit) override;
+    void stop(milliseconds timeout) override;
 
 private:
     struct state;
     std::unique_ptr<state> state_;
 };
 
-/// Client for calls to other nodes, over one gRPC channel per peer.
+/// gRPC client for other nodes, with one channel per peer instance.
 std::unique_ptr<peer_client> make_grpc_peer_client();
 
-/// Over HTTP/1.1 with the same messages.
+/// HTTP/1.1 server that exchanges the same Protobuf messages.
 std::unique_ptr<node_endpoint> make_http_node_server(std::string address, std::uint16_t port,
                                                      node_handler& handler);
 
-/// Client for nodes that serve over HTTP/1.1; the HTTP client must outlive it.
+/// Client for nodes that serve HTTP/1.1. Does not own the HTTP client, which must outlive it.
 std::unique_ptr<peer_client> make_http_peer_client(http_client& client);
 
 } // namespace chestnutstand
--- a/include/chestnutstand/transport/peer_client.h
+++ b/include/chestnutstand/transport/peer_client.h
@@ -13,7 +13,7 @@
 
 namespace chestnutstand {
 
-/// A node process, identified by the random id that it drew at its start.
+/// Address of a node process, which is identified by a random id generated at its start.
 struct node_reference {
     std::uint64_t instance = 0;
     std::string address;
@@ -22,7 +22,7 @@
     friend bool operator==(const node_reference&, const node_reference&) = default;
 };
 
-/// What an executor knows of a key.
+/// State of an idempotency key at an executor.
 enum class settle_state : std::uint8_t { completed, running, fenced, unknown, wrong_instance };
 
 inline constexpr name_table<settle_state, 5> settle_state_names{
@@ -32,13 +32,13 @@
     settle_state state = settle_state::unknown;
     /// Set when the state is completed.
     http_response response;
-    /// Why the key was closed or its result is not known.
+    /// Why the key was refused or fenced, or why its result is unknown.
     reason_code reason = reason_code::none;
-    /// Request that the key belongs to, if it was ever admitted there.
+    /// Digest of the request that the key was admitted with; unset if it never was.
     std::optional<fingerprint> request;
 };
 
-/// Record of the configuration stream as nodes pass it on.
+/// Record of the configuration stream, as exchanged between nodes.
 struct change_record {
     std::uint64_t offset = 0;
     std::string payload;
@@ -49,8 +49,8 @@
     bool starts_with_checkpoint = false;
 };
 
-/// Calls to other nodes. Each callback runs exactly once, on any thread, possibly before the method
-/// returns.
+/// Asynchronous client for other nodes. Each callback runs exactly once, on any thread, possibly
+/// before the method returns.
 class peer_client {
 public:
     peer_client() = default;
@@ -58,21 +58,23 @@
     peer_client& operator=(const peer_client&) = delete;
     virtual ~peer_client() = default;
 
-    /// Runs a call on the upstream beside the target. A lost reply ends in call_outcome::unknown
-    /// with reason_code::peer_connection_lost, a failed connection in call_outcome::not_run with
-    /// reason_code::peer_unreachable. Delivers the call at most once: a repeated delivery could be
-    /// refused after the first one has run, and the refusal would pass for a proof.
+    /// Runs a call on the target's upstream. A lost reply yields call_outcome::unknown with
+    /// reason_code::peer_connection_lost, a failed connection call_outcome::not_run with
+    /// reason_code::peer_unreachable. Delivers the call at most once: a second delivery could be
+    /// refused after the first one has run, and the refusal would wrongly prove that the call did
+    /// not run.
     virtual void execute(const node_reference& target, const service_call& call,
                          call_done done) = 0;
 
-    /// Hands a keyed call to its owner. A failed connection or a lost reply ends in
-    /// call_outcome::unknown with reason_code::owner_unreachable: an earlier copy of the call may
-    /// have run, so a failed connection proves nothing.
+    /// Forwards a call with an idempotency key to the node that owns the key. A failed connection
+    /// or a lost reply yields call_outcome::unknown with reason_code::owner_unreachable: an earlier
+    /// copy of the call may have run, so a failed connection does not prove that the call did not
+    /// run.
     virtual void forward(const node_reference& owner, const service_call& call, bool query_only,
                          call_done done) = 0;
 
     using settle_done = std::function<void(absl::StatusOr<settle_result>)>;
-    /// Asks an executor about a key and fences the key if it has not started there.
+    /// Queries the state of a key at an executor and fences the key if its call has not started.
     virtual void settle(const node_reference& executor, const std::string& key,
                         milliseconds timeout, settle_done done) = 0;
 
--- a/lib/transport/chunked_body.cpp
+++ b/lib/transport/chunked_body.cpp
@@ -8,35 +8,35 @@
 namespace {
 
 constexpr std::string_view line_end = "\r\n";
-/// A chunk size with its extensions, or one trailer field.
+/// Limit for a chunk size line with its extensions, and for a trailer field.
 constexpr std::size_t max_line_bytes = 4'096;
 constexpr std::size_t max_trailer_bytes = 16'384;
-constexpr int hexadecimal = 16;
+constexpr int hexadecimal_base = 16;
 
 } // namespace
 
 chunk_progress chunked_body::decode_from(std::string& buffer)
 {
-    std::size_t taken = 0;
+    std::size_t consumed = 0;
     auto progress = chunk_progress::incomplete;
-    while (progress == chunk_progress::incomplete && taken < buffer.size()) {
+    while (progress == chunk_progress::incomplete && consumed < buffer.size()) {
         if (state_ == state::data) {
-            const std::size_t count = std::min(chunk_bytes_left_, buffer.size() - taken);
-            bytes_.append(buffer, taken, count);
-            taken += count;
+            const std::size_t count = std::min(chunk_bytes_left_, buffer.size() - consumed);
+            bytes_.append(buffer, consumed, count);
+            consumed += count;
             chunk_bytes_left_ -= count;
             state_ = chunk_bytes_left_ == 0 ? state::data_end : state::data;
             continue;
         }
-        const auto end = buffer.find(line_end, taken);
+        const auto end = buffer.find(line_end, consumed);
         if (end == std::string::npos) {
-            if (buffer.size() - taken > max_line_bytes) {
+            if (buffer.size() - consumed > max_line_bytes) {
                 progress = chunk_progress::malformed;
             }
             break;
         }
-        const std::string line = buffer.substr(taken, end - taken);
-        taken = end + line_end.size();
+        const std::string line = buffer.substr(consumed, end - consumed);
+        consumed = end + line_end.size();
         if (state_ == state::size) {
             progress = read_size(line);
         }
@@ -44,12 +44,12 @@
             progress = read_trailer(line);
         }
         else {
-            // The data of a chunk ends with an empty line.
+            // Chunk data is followed by CRLF.
             progress = line.empty() ? chunk_progress::incomplete : chunk_progress::malformed;
             state_ = state::size;
         }
     }
-    buffer.erase(0, taken);
+    buffer.erase(0, consumed);
     return progress;
 }
 
@@ -58,7 +58,7 @@
     const std::string_view digits = std::string_view{line}.substr(0, line.find(';'));
     std::size_t size = 0;
     const auto [end, error] =
-        std::from_chars(digits.data(), digits.data() + digits.size(), size, hexadecimal);
+        std::from_chars(digits.data(), digits.data() + digits.size(), size, hexadecimal_base);
     if (digits.empty() || error != std::errc{} || end != digits.data() + digits.size() ||
         line.find('\n') != std::string::npos) {
         return chunk_progress::malformed;
--- a/lib/transport/chunked_body.h
+++ b/lib/transport/chunked_body.h
@@ -7,22 +7,22 @@
 namespace chestnutstand {
 
 enum class chunk_progress : std::uint8_t {
-    incomplete, ///< More bytes are needed.
-    complete,   ///< The body and its trailer section have ended.
+    incomplete, ///< More input is needed.
+    complete,   ///< The body and the trailer section are complete.
     malformed,
     too_large,
 };
 
-/// Decodes a chunked body (RFC 9112, 7.1). Chunk extensions and trailer fields are dropped;
-/// anything that another implementation could read differently is refused.
+/// Decoder for a chunked body (RFC 9112, 7.1). Ignores chunk extensions and trailer fields. Rejects
+/// input that another implementation could parse differently, which would allow request smuggling.
 class chunked_body {
 public:
     explicit chunked_body(std::size_t max_bytes) : max_bytes_{max_bytes} {}
 
-    /// Takes what it can off the front of the buffer.
+    /// Decodes as much as possible and removes it from the front of the buffer.
     chunk_progress decode_from(std::string& buffer);
 
-    /// The decoded bytes; all of them once the body is complete.
+    /// The body as decoded so far.
     std::string& bytes() { return bytes_; }
 
 private:
--- a/lib/transport/curl_client.cpp
+++ b/lib/transport/curl_client.cpp
@@ -19,19 +19,19 @@
 namespace {
 
 constexpr long connect_timeout_ms = 300;
-// Middleboxes forget idle connections; an old pooled connection may swallow a request.
-constexpr long max_idle_seconds = 10;
-// Several retransmissions within a data centre and one across regions.
+// Middleboxes drop the state of idle connections; a request on such a connection gets no response.
+constexpr long max_connection_idle_s = 10;
+// Long enough for several retransmissions within a data centre and for one across regions.
 constexpr unsigned tcp_user_timeout_ms = 750;
-constexpr int keepalive_seconds = 2;
+constexpr int keepalive_interval_s = 2;
 constexpr long max_pooled_connections = 256;
-/// A handle takes a few kilobytes; more transfers than this rarely run at once.
+/// A handle takes a few kilobytes; more concurrent transfers than this are rare.
 constexpr std::size_t max_idle_handles = 64;
 constexpr int poll_timeout_ms = 1'000;
 constexpr int status_no_content = 204;
 constexpr int status_not_modified = 304;
 
-/// One request and what has been received for it.
+/// A request and the response received so far.
 struct transfer {
     http_client::request_id id = 0;
     http_request request;
@@ -42,7 +42,7 @@
     curl_slist* headers = nullptr;
     bool request_sent = false;
     bool headers_complete = false;
-    /// The header block is that of an interim response, which another one follows.
+    /// The current header block belongs to an interim (1xx) response.
     bool interim = false;
     bool chunked = false;
     bool too_large = false;
@@ -58,12 +58,12 @@
     }
 };
 
-/// Whether the response names the request that it answers.
-bool response_matches_request(const transfer& received)
+/// Whether the response returns the value of the request's echoed_header.
+bool response_matches_request(const transfer& exchange)
 {
-    const auto& name = received.request.echoed_header;
-    return name.empty() || find_header(received.result.response.headers, name) ==
-                               find_header(received.request.headers, name);
+    const auto& name = exchange.request.echoed_header;
+    return name.empty() || find_header(exchange.result.response.headers, name) ==
+                               find_header(exchange.request.headers, name);
 }
 
 bool is_interim(std::string_view status_line)
@@ -74,20 +74,20 @@
 
 std::size_t on_header(char* data, std::size_t size, std::size_t count, void* user)
 {
-    auto& self = *static_cast<transfer*>(user);
+    auto& exchange = *static_cast<transfer*>(user);
     const std::string_view line{data, size * count};
     if (line.rfind("HTTP/", 0) == 0) {
-        // A new header block starts, for example after 100 Continue.
-        self.result.response.headers.clear();
-        self.chunked = false;
-        self.headers_complete = false;
-        self.interim = is_interim(line);
+        // Starts a new header block, for example after 100 Continue.
+        exchange.result.response.headers.clear();
+        exchange.chunked = false;
+        exchange.headers_complete = false;
+        exchange.interim = is_interim(line);
         return line.size();
     }
     if (line == "\r\n" || line == "\n") {
-        self.headers_complete = true;
-        if (!self.interim && !response_matches_request(self)) {
-            curl_easy_setopt(self.handle, CURLOPT_FORBID_REUSE, 1L);
+        exchange.headers_complete = true;
+        if (!exchange.interim && !response_matches_request(exchange)) {
+            curl_easy_setopt(exchange.handle, CURLOPT_FORBID_REUSE, 1L);
         }
         return line.size();
     }
@@ -99,79 +99,83 @@
                       std::string{trim_whitespace(line.substr(colon + 1))}};
     if (header_name_equal(field.name, "transfer-encoding") &&
         header_name_equal(field.value, "chunked")) {
-        self.chunked = true;
+        exchange.chunked = true;
     }
-    self.result.response.headers.push_back(std::move(field));
+    exchange.result.response.headers.push_back(std::move(field));
     return line.size();
 }
 
 std::size_t on_body(char* data, std::size_t size, std::size_t count, void* user)
 {
-    auto& self = *static_cast<transfer*>(user);
+    auto& exchange = *static_cast<transfer*>(user);
     const std::size_t length = size * count;
-    if (self.result.response.body.size() + length > self.max_response_bytes) {
-        self.too_large = true;
+    if (exchange.result.response.body.size() + length > exchange.max_response_bytes) {
+        exchange.too_large = true;
         return 0;
     }
-    self.result.response.body.append(data, length);
+    exchange.result.response.body.append(data, length);
     return length;
 }
 
-// libcurl silently repeats a request when a pooled connection closes without a response. The server
-// may have run it, so a second start of the same transfer is aborted.
+// libcurl silently resends a request when a pooled connection closes without a response. The server
+// may have run the request, so a second start of the same transfer is aborted.
 int on_request_start(void* user, char*, char*, int, int)
 {
-    auto& self = *static_cast<transfer*>(user);
-    if (self.request_sent) {
+    auto& exchange = *static_cast<transfer*>(user);
+    if (exchange.request_sent) {
         return CURL_PREREQFUNC_ABORT;
     }
-    self.request_sent = true;
+    exchange.request_sent = true;
     return CURL_PREREQFUNC_OK;
 }
 
-/// Ends connections whose other side has gone or has forgotten them, so that neither a request nor
-/// a pooled connection waits for it until a deadline.
-int on_socket(void* /*user*/, curl_socket_t socket, curlsocktype /*purpose*/)
+/// Sets the TCP user timeout and keepalive. They close a connection whose peer is gone or has lost
+/// its state, so that neither a request nor a pooled connection waits for the peer until a
+/// deadline.
+int set_socket_options(void* /*user*/, curl_socket_t socket, curlsocktype /*purpose*/)
 {
     const int on = 1;
     ::setsockopt(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &tcp_user_timeout_ms,
                  sizeof tcp_user_timeout_ms);
     ::setsockopt(socket, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
-    ::setsockopt(socket, IPPROTO_TCP, TCP_KEEPIDLE, &keepalive_seconds, sizeof keepalive_seconds);
-    ::setsockopt(socket, IPPROTO_TCP, TCP_KEEPINTVL, &keepalive_seconds, sizeof keepalive_seconds);
+    ::setsockopt(socket, IPPROTO_TCP, TCP_KEEPIDLE, &keepalive_interval_s,
+                 sizeof keepalive_interval_s);
+    ::setsockopt(socket, IPPROTO_TCP, TCP_KEEPINTVL, &keepalive_interval_s,
+                 sizeof keepalive_interval_s);
     return CURL_SOCKOPT_OK;
 }
 
-bool body_is_framed(const transfer& done)
+bool body_is_framed(const transfer& exchange)
 {
-    const int status = done.result.response.status;
-    if (done.chunked || done.request.method == "HEAD" || status == status_no_content ||
+    const int status = exchange.result.response.status;
+    if (exchange.chunked || exchange.request.method == "HEAD" || status == status_no_content ||
         status == status_not_modified) {
         return true;
     }
-    return find_header(done.result.response.headers, "content-length").has_value();
+    return find_header(exchange.result.response.headers, "content-length").has_value();
 }
 
-http_error error_of(const transfer& done, CURLcode code)
+http_error error_of(const transfer& exchange, CURLcode code)
 {
-    // libcurl reports success when the connection closes within the header block.
-    if (code == CURLE_OK && !done.headers_complete) {
-        return done.result.response.status == 0 ? http_error::connection_lost
-                                                : http_error::truncated;
+    // libcurl reports success when the connection closes in the middle of the header block.
+    if (code == CURLE_OK && !exchange.headers_complete) {
+        return exchange.result.response.status == 0 ? http_error::connection_lost
+                                                    : http_error::truncated;
     }
     if (code == CURLE_OK) {
-        return body_is_framed(done) ? http_error::none : http_error::unframed;
+        return body_is_framed(exchange) ? http_error::none : http_error::unframed;
     }
-    if (!done.request_sent) {
+    if (!exchange.request_sent) {
         return http_error::connect_failed;
     }
-    if (done.too_large) {
+    if (exchange.too_large) {
         return http_error::too_large;
     }
     if (code == CURLE_OPERATION_TIMEDOUT) {
         return http_error::timed_out;
     }
-    if (code == CURLE_PARTIAL_FILE || (code == CURLE_RECV_ERROR && done.result.response.status)) {
+    if (code == CURLE_PARTIAL_FILE ||
+        (code == CURLE_RECV_ERROR && exchange.result.response.status)) {
         return http_error::truncated;
     }
     return http_error::connection_lost;
@@ -179,7 +183,7 @@
 
 class curl_client;
 
-/// The client whose thread this is.
+/// Client that runs the current thread; null on other threads.
 thread_local const curl_client* client_of_this_thread = nullptr;
 
 class curl_client final : public http_client {
@@ -211,18 +215,18 @@
     request_id send(const std::string& base_url, http_request request, milliseconds timeout,
                     http_done done) override
     {
-        auto next = std::make_unique<transfer>();
-        next->request = std::move(request);
-        next->done = std::move(done);
-        next->max_response_bytes = max_response_bytes_;
-        next->started = ms_clock::now();
-        next->handle = acquire_handle();
-        configure(*next, base_url, timeout);
+        auto exchange = std::make_unique<transfer>();
+        exchange->request = std::move(request);
+        exchange->done = std::move(done);
+        exchange->max_response_bytes = max_response_bytes_;
+        exchange->started = ms_clock::now();
+        exchange->handle = acquire_handle();
+        configure(*exchange, base_url, timeout);
         request_id id = 0;
         {
             const std::lock_guard lock{mutex_};
-            id = next->id = next_id_++;
-            added_.push_back(std::move(next));
+            id = exchange->id = next_id_++;
+            added_.push_back(std::move(exchange));
         }
         wake();
         return id;
@@ -238,14 +242,14 @@
     }
 
 private:
-    static void configure(transfer& next, const std::string& base_url, milliseconds timeout);
+    static void configure(transfer& exchange, const std::string& base_url, milliseconds timeout);
     void run();
     void wake();
     CURL* acquire_handle();
     void release_handle(CURL* handle);
     bool process_commands();
     bool has_commands();
-    void add(std::unique_ptr<transfer> next);
+    void add(std::unique_ptr<transfer> exchange);
     void finish_completed();
     void finish(request_id id, http_error error);
     void cancel_all();
@@ -259,16 +263,16 @@
     std::vector<std::unique_ptr<transfer>> added_;
     std::vector<request_id> cancelled_;
     std::vector<CURL*> idle_handles_;
-    /// Only used by the client's thread.
+    /// Accessed only by the client's thread.
     std::unordered_map<request_id, std::unique_ptr<transfer>> running_;
 };
 
-void curl_client::configure(transfer& next, const std::string& base_url, milliseconds timeout)
+void curl_client::configure(transfer& exchange, const std::string& base_url, milliseconds timeout)
 {
-    CURL* handle = next.handle;
-    const std::string url = base_url + next.request.target;
+    CURL* handle = exchange.handle;
+    const std::string url = base_url + exchange.request.target;
     curl_easy_setopt(handle, CURLOPT_URL, url.c_str());
-    curl_easy_setopt(handle, CURLOPT_PRIVATE, &next);
+    curl_easy_setopt(handle, CURLOPT_PRIVATE, &exchange);
     curl_easy_setopt(handle, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(handle, CURLOPT_PROXY, "");
     curl_easy_setopt(handle, CURLOPT_PROTOCOLS_STR, "http");
@@ -276,41 +280,42 @@
     curl_easy_setopt(handle, CURLOPT_PATH_AS_IS, 1L);
     curl_easy_setopt(handle, CURLOPT_TIMEOUT_MS, std::max(1L, std::lround(timeout.count())));
     curl_easy_setopt(handle, CURLOPT_CONNECTTIMEOUT_MS, connect_timeout_ms);
-    curl_easy_setopt(handle, CURLOPT_MAXAGE_CONN, max_idle_seconds);
-    curl_easy_setopt(handle, CURLOPT_SOCKOPTFUNCTION, on_socket);
-    curl_easy_setopt(handle, CURLOPT_FRESH_CONNECT, next.request.fresh_connection ? 1L : 0L);
+    curl_easy_setopt(handle, CURLOPT_MAXAGE_CONN, max_connection_idle_s);
+    curl_easy_setopt(handle, CURLOPT_SOCKOPTFUNCTION, set_socket_options);
+    curl_easy_setopt(handle, CURLOPT_FRESH_CONNECT, exchange.request.fresh_connection ? 1L : 0L);
     curl_easy_setopt(handle, CURLOPT_PREREQFUNCTION, on_request_start);
-    curl_easy_setopt(handle, CURLOPT_PREREQDATA, &next);
+    curl_easy_setopt(handle, CURLOPT_PREREQDATA, &exchange);
     curl_easy_setopt(handle, CURLOPT_HEADERFUNCTION, on_header);
-    curl_easy_setopt(handle, CURLOPT_HEADERDATA, &next);
+    curl_easy_setopt(handle, CURLOPT_HEADERDATA, &exchange);
     curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, on_body);
-    curl_easy_setopt(handle, CURLOPT_WRITEDATA, &next);
-    if (next.request.method == "HEAD") {
+    curl_easy_setopt(handle, CURLOPT_WRITEDATA, &exchange);
+    if (exchange.request.method == "HEAD") {
         curl_easy_setopt(handle, CURLOPT_NOBODY, 1L);
     }
-    else if (next.request.method != "GET" || !next.request.body.empty()) {
+    else if (exchange.request.method != "GET" || !exchange.request.body.empty()) {
         curl_easy_setopt(handle, CURLOPT_POSTFIELDSIZE_LARGE,
-                         static_cast<curl_off_t>(next.request.body.size()));
-        curl_easy_setopt(handle, CURLOPT_POSTFIELDS, next.request.body.data());
+                         static_cast<curl_off_t>(exchange.request.body.size()));
+        curl_easy_setopt(handle, CURLOPT_POSTFIELDS, exchange.request.body.data());
     }
-    curl_easy_setopt(handle, CURLOPT_CUSTOMREQUEST, next.request.method.c_str());
-    // An empty value suppresses the headers that libcurl would add on its own.
-    next.headers = curl_slist_append(next.headers, "Expect:");
-    if (!find_header(next.request.headers, "accept")) {
-        next.headers = curl_slist_append(next.headers, "Accept:");
+    curl_easy_setopt(handle, CURLOPT_CUSTOMREQUEST, exchange.request.method.c_str());
+    // An empty value suppresses a header that libcurl would add by itself.
+    exchange.headers = curl_slist_append(exchange.headers, "Expect:");
+    if (!find_header(exchange.request.headers, "accept")) {
+        exchange.headers = curl_slist_append(exchange.headers, "Accept:");
     }
-    if (!find_header(next.request.headers, "content-type")) {
-        next.headers = curl_slist_append(next.headers, "Content-Type:");
+    if (!find_header(exchange.request.headers, "content-type")) {
+        exchange.headers = curl_slist_append(exchange.headers, "Content-Type:");
     }
-    for (const auto& field : next.request.headers) {
+    for (const auto& field : exchange.request.headers) {
         const std::string line =
             field.value.empty() ? field.name + ";" : field.name + ": " + field.value;
-        next.headers = curl_slist_append(next.headers, line.c_str());
+        exchange.headers = curl_slist_append(exchange.headers, line.c_str());
     }
-    curl_easy_setopt(handle, CURLOPT_HTTPHEADER, next.headers);
+    curl_easy_setopt(handle, CURLOPT_HTTPHEADER, exchange.headers);
 }
 
-/// Callbacks often send the next request; the client's thread sees it without being woken.
+/// Callbacks often send the next request; the client's own thread needs no wake-up, as it checks
+/// for commands after running callbacks.
 void curl_client::wake()
 {
     if (client_of_this_thread != this) {
@@ -370,8 +375,8 @@
         cancelled.swap(cancelled_);
         stopping = stopping_;
     }
-    for (auto& next : added) {
-        add(std::move(next));
+    for (auto& exchange : added) {
+        add(std::move(exchange));
     }
     for (const request_id id : cancelled) {
         finish(id, http_error::cancelled);
@@ -385,11 +390,11 @@
     return !added_.empty() || !cancelled_.empty() || stopping_;
 }
 
-void curl_client::add(std::unique_ptr<transfer> next)
+void curl_client::add(std::unique_ptr<transfer> exchange)
 {
-    curl_multi_add_handle(multi_, next->handle);
-    const request_id id = next->id;
-    running_.emplace(id, std::move(next));
+    curl_multi_add_handle(multi_, exchange->handle);
+    const request_id id = exchange->id;
+    running_.emplace(id, std::move(exchange));
 }
 
 void curl_client::finish_completed()
@@ -417,8 +422,8 @@
     }
     const auto ended = std::move(found->second);
     running_.erase(found);
-    // Removing a handle in mid-transfer closes its connection, so a late response cannot be taken
-    // for the response of another request.
+    // Removing a handle during a transfer closes its connection, so that a late response cannot be
+    // attributed to another request.
     curl_multi_remove_handle(multi_, ended->handle);
     release_handle(std::exchange(ended->handle, nullptr));
     ended->result.error = error;
--- a/lib/transport/grpc_node_server.cpp
+++ b/lib/transport/grpc_node_server.cpp
@@ -15,7 +15,8 @@
 constexpr int keepalive_min_interval_ms = 5'000;
 constexpr int max_message_bytes = 16 << 20;
 
-/// Finishes itself once and tells the call when the peer has cancelled.
+/// Sends the reply of one call and propagates cancellation by the peer to the call. gRPC requires
+/// it to delete itself in OnDone.
 class execute_reactor final : public grpc::ServerUnaryReactor {
 public:
     explicit execute_reactor(wire::ExecuteReply* reply) : reply_{reply} {}
@@ -160,7 +161,7 @@
     builder.AddListeningPort(endpoint, grpc::InsecureServerCredentials(), &bound_port);
     builder.RegisterService(&state_->service);
     builder.SetMaxReceiveMessageSize(max_message_bytes);
-    // Two processes must never share a port, or calls reach the wrong one.
+    // With SO_REUSEPORT two processes could share a port and receive each other's calls.
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
     builder.AddChannelArgument(GRPC_ARG_HTTP2_MIN_RECV_PING_INTERVAL_WITHOUT_DATA_MS,
                                keepalive_min_interval_ms);
@@ -178,14 +179,14 @@
     return state_->port;
 }
 
-void node_server::stop(milliseconds limit)
+void node_server::stop(milliseconds timeout)
 {
     if (!state_->server) {
         return;
     }
     state_->server->Shutdown(
         std::chrono::system_clock::now() +
-        std::chrono::duration_cast<std::chrono::system_clock::duration>(limit));
+        std::chrono::duration_cast<std::chrono::system_clock::duration>(timeout));
     state_->server->Wait();
     state_->server.reset();
 }
--- a/lib/transport/grpc_peer_client.cpp
+++ b/lib/transport/grpc_peer_client.cpp
@@ -35,8 +35,8 @@
     return {static_cast<absl::StatusCode>(status.error_code()), status.error_message()};
 }
 
-/// Turns a failed forward into owner_unreachable, because it says nothing about earlier copies of
-/// the call.
+/// Reports a forward that got no reply as owner_unreachable with an unknown outcome, as an earlier
+/// copy of the call may have run.
 call_done map_to_owner_unreachable(call_done done)
 {
     return [done = std::move(done)](call_result result) {
@@ -46,7 +46,7 @@
     };
 }
 
-/// State of one call; it deletes itself when the callback has run.
+/// State of one RPC; owned by its callback and freed with it.
 template <typename Request, typename Reply>
 struct unary_call {
     grpc::ClientContext context;
@@ -54,7 +54,7 @@
     Reply reply;
 };
 
-/// Callback of a call that converts its reply, or passes its error on.
+/// Callback of an RPC that passes the converted reply or the error to done.
 template <typename State, typename Done, typename Convert>
 auto on_reply(std::shared_ptr<State> state, Done done, Convert convert)
 {
@@ -150,7 +150,7 @@
                     std::shared_ptr<State> state, call_done done, Start start);
 
     std::mutex mutex_;
-    /// By instance, so that a new process at an old address gets its own connection.
+    /// By instance, so that a new process at the same address gets a new connection.
     std::map<std::uint64_t, stub_ptr> stubs_;
 };
 
@@ -178,8 +178,8 @@
     return stub;
 }
 
-// gRPC gives this message only when no connection existed to send the request on. With any other
-// error the request may have reached the peer.
+// Start of gRPC's message for a request that was not sent because no connection could be
+// established. With any other error the peer may have received the request.
 constexpr std::string_view connect_failed_message = "failed to connect to all addresses";
 
 call_result result_of(const grpc::Status& status, const wire::ExecuteReply& reply)
--- a/lib/transport/headers.cpp
+++ b/lib/transport/headers.cpp
@@ -52,12 +52,12 @@
 
 std::string_view trim_whitespace(std::string_view text)
 {
-    constexpr std::string_view blanks = " \t\r\n";
-    const auto first = text.find_first_not_of(blanks);
+    constexpr std::string_view whitespace = " \t\r\n";
+    const auto first = text.find_first_not_of(whitespace);
     if (first == std::string_view::npos) {
         return {};
     }
-    return text.substr(first, text.find_last_not_of(blanks) - first + 1);
+    return text.substr(first, text.find_last_not_of(whitespace) - first + 1);
 }
 
 std::optional<std::string_view> find_header(const std::vector<http_header>& headers,
@@ -81,12 +81,12 @@
 
 void remove_reserved_headers(std::vector<http_header>& headers, const header_names& names)
 {
-    const std::array<std::string_view, 7> own{
+    const std::array<std::string_view, 7> reserved{
         names.request_id,  names.timeout_ms,     names.idempotency_key, names.not_run,
         names.upstream_id, names.origin_service, names.upstream_load};
     std::erase_if(headers, [&](const http_header& field) {
         return absl::StartsWithIgnoreCase(field.name, "chestnut-") ||
-               contains_name(own, field.name);
+               contains_name(reserved, field.name);
     });
 }
 
--- a/lib/transport/http_connection.cpp
+++ b/lib/transport/http_connection.cpp
@@ -18,30 +18,30 @@
 
 } // namespace
 
-response_queue::response_queue() : wake_{::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)} {}
+response_queue::response_queue() : event_fd_{::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)} {}
 
 response_queue::~response_queue()
 {
-    ::close(wake_);
+    ::close(event_fd_);
 }
 
-void response_queue::push(entry added)
+void response_queue::push(entry response)
 {
-    bool first = false;
+    bool was_empty = false;
     {
         const std::lock_guard lock{mutex_};
-        first = entries_.empty();
-        entries_.push_back(std::move(added));
+        was_empty = entries_.empty();
+        entries_.push_back(std::move(response));
     }
-    if (first) {
+    if (was_empty) {
         wake();
     }
 }
 
-std::vector<response_queue::entry> response_queue::take()
+std::vector<response_queue::entry> response_queue::take_all()
 {
     std::uint64_t ignored = 0;
-    [[maybe_unused]] const auto bytes = ::read(wake_, &ignored, sizeof ignored);
+    [[maybe_unused]] const auto bytes = ::read(event_fd_, &ignored, sizeof ignored);
     std::vector<entry> taken;
     const std::lock_guard lock{mutex_};
     taken.swap(entries_);
@@ -57,7 +57,7 @@
 void response_queue::wake() const
 {
     const std::uint64_t one = 1;
-    [[maybe_unused]] const auto bytes = ::write(wake_, &one, sizeof one);
+    [[maybe_unused]] const auto bytes = ::write(event_fd_, &one, sizeof one);
 }
 
 bool has_connection_close(const http_response& response)
@@ -76,11 +76,11 @@
         if (header_name_equal(field.name, "connection")) {
             continue;
         }
-        const bool length = header_name_equal(field.name, "content-length");
-        if (length && !head_only) {
+        const bool is_length = header_name_equal(field.name, "content-length");
+        if (is_length && !head_only) {
             continue;
         }
-        has_length = has_length || length;
+        has_length = has_length || is_length;
         absl::StrAppend(&out, field.name, ": ", field.value, "\r\n");
     }
     absl::StrAppend(&out, "Connection: ", close ? "close" : "keep-alive", "\r\n");
--- a/lib/transport/http_connection.h
+++ b/lib/transport/http_connection.h
@@ -16,7 +16,7 @@
 
 class response_slot;
 
-/// Responses on their way from any thread to the thread that owns their connection.
+/// Queue of responses from any thread to the thread that owns the connections.
 class response_queue {
 public:
     struct entry {
@@ -29,26 +29,26 @@
     response_queue& operator=(const response_queue&) = delete;
     ~response_queue();
 
-    void push(entry added);
-    std::vector<entry> take();
+    void push(entry response);
+    std::vector<entry> take_all();
 
-    /// Asks the owning thread to close all connections.
+    /// Makes the owning thread close all connections.
     void request_stop();
     bool stop_requested() const { return stopping_; }
 
-    /// Readable when the owning thread has something to do.
-    int descriptor() const { return wake_; }
+    /// eventfd that is readable when responses are queued or a stop was requested.
+    int descriptor() const { return event_fd_; }
 
 private:
     void wake() const;
 
-    int wake_ = -1;
+    int event_fd_ = -1;
     std::atomic<bool> stopping_ = false;
     std::mutex mutex_;
     std::vector<entry> entries_;
 };
 
-/// The one response to one request.
+/// Accepts the response to one request, for any thread.
 class response_slot final : public responder, public std::enable_shared_from_this<response_slot> {
 public:
     response_slot(std::shared_ptr<response_queue> queue, std::size_t connection, bool head_only,
@@ -73,7 +73,7 @@
 
 private:
     std::shared_ptr<response_queue> queue_;
-    /// Number that is never reused, unlike a descriptor.
+    /// Connection id; unlike a descriptor it is never reused.
     std::size_t connection_;
     bool head_only_;
     bool keep_alive_;
@@ -81,10 +81,10 @@
     std::shared_ptr<cancellation> disconnected_ = std::make_shared<cancellation>();
 };
 
-/// Bytes of a response. The length of the body is always stated.
+/// Serializes a response. Always states the body length, except for a status without a body.
 std::string serialize(const http_response& response, bool head_only, bool close);
 
-/// Whether the response itself ends the connection.
+/// Whether the response has Connection: close.
 bool has_connection_close(const http_response& response);
 
 } // namespace chestnutstand
--- a/lib/transport/http_node_server.cpp
+++ b/lib/transport/http_node_server.cpp
@@ -14,9 +14,9 @@
 constexpr int status_bad_request = 400;
 constexpr int status_not_found = 404;
 constexpr int status_unavailable = 503;
-/// A call with the largest body that callers may send, and its headers.
+/// Fits a call with the largest body that callers may send, plus its headers.
 constexpr std::size_t max_message_bytes = std::size_t{65} << 20U;
-/// Longer than a peer keeps an idle connection, so that none is closed under a request.
+/// Longer than peers pool idle connections, so that none is closed while a request is sent on it.
 constexpr milliseconds idle_timeout{60'000};
 
 using responder_ptr = std::shared_ptr<responder>;
@@ -27,7 +27,7 @@
     response.send({status_ok, {}, message.SerializeAsString()});
 }
 
-/// Callback of a query, whose result is a value or an error.
+/// Callback that sends the value or the error of a query.
 template <typename Value>
 auto make_reply_callback(const responder_ptr& response)
 {
@@ -52,7 +52,7 @@
     return call;
 }
 
-/// Hands requests of other nodes to the handler.
+/// Routes requests by path to the methods of the handler.
 class node_request_router {
 public:
     explicit node_request_router(node_handler& handler) : handler_{handler} {}
@@ -78,26 +78,28 @@
             members(request, response);
         }
         else {
-            response->send({status_not_found, {}, "no such call"});
+            response->send({status_not_found, {}, "unknown node request path"});
         }
     }
 
 private:
-    /// Whether the body was read; otherwise the request is answered.
+    /// Parses the body; on failure sends an error response and returns false.
     template <typename Message>
-    static bool read(const http_request& request, const responder_ptr& response, Message& message)
+    static bool parse_body(const http_request& request, const responder_ptr& response,
+                           Message& message)
     {
         if (message.ParseFromString(request.body)) {
             return true;
         }
-        response->send({status_bad_request, {}, "the message is not readable"});
+        response->send(
+            {status_bad_request, {}, "the request body is not a valid Protobuf message"});
         return false;
     }
 
     void execute(const http_request& request, const responder_ptr& response)
     {
         wire::ExecuteRequest message;
-        if (read(request, response, message)) {
+        if (parse_body(request, response, message)) {
             handler_.execute(message.target_instance(), read_call(message.call(), response),
                              make_call_reply_callback(response));
         }
@@ -106,7 +108,7 @@
     void forward(const http_request& request, const responder_ptr& response)
     {
         wire::ForwardRequest message;
-        if (read(request, response, message)) {
+        if (parse_body(request, response, message)) {
             handler_.forward(message.target_instance(), read_call(message.call(), response),
                              message.query_only(), make_call_reply_callback(response));
         }
@@ -115,7 +117,7 @@
     void settle(const http_request& request, const responder_ptr& response)
     {
         wire::SettleRequest message;
-        if (read(request, response, message)) {
+        if (parse_body(request, response, message)) {
             make_reply_callback<settle_result>(response)(
                 handler_.settle(message.target_instance(), message.idempotency_key()));
         }
@@ -124,7 +126,7 @@
     void changes(const http_request& request, const responder_ptr& response)
     {
         wire::FetchChangesRequest message;
-        if (read(request, response, message)) {
+        if (parse_body(request, response, message)) {
             handler_.fetch_changes(message.from_offset(),
                                    make_reply_callback<fetched_changes>(response));
         }
@@ -133,7 +135,7 @@
     void members(const http_request& request, const responder_ptr& response)
     {
         wire::SyncMembersMessage message;
-        if (read(request, response, message)) {
+        if (parse_body(request, response, message)) {
             handler_.sync_members({message.members().begin(), message.members().end()},
                                   make_reply_callback<std::vector<std::string>>(response));
         }
@@ -145,30 +147,30 @@
 class http_node_server final : public node_endpoint {
 public:
     http_node_server(std::string address, std::uint16_t port, node_handler& handler)
-        : calls_{handler}, server_{
-                               options(std::move(address), port),
-                               [this](const http_request& request, const responder_ptr& response) {
-                                   calls_.handle(request, response);
-                               }}
+        : router_{handler}, server_{
+                                options(std::move(address), port),
+                                [this](const http_request& request, const responder_ptr& response) {
+                                    router_.handle(request, response);
+                                }}
     {
     }
 
     absl::Status start() override { return server_.start(); }
     std::uint16_t port() const override { return server_.port(); }
-    void stop(milliseconds /*limit*/) override { server_.stop(); }
+    void stop(milliseconds /*timeout*/) override { server_.stop(); }
 
 private:
     static http_server_options options(std::string address, std::uint16_t port)
     {
-        http_server_options made;
-        made.address = std::move(address);
-        made.port = port;
-        made.max_body_bytes = max_message_bytes;
-        made.idle_timeout = idle_timeout;
-        return made;
+        http_server_options result;
+        result.address = std::move(address);
+        result.port = port;
+        result.max_body_bytes = max_message_bytes;
+        result.idle_timeout = idle_timeout;
+        return result;
     }
 
-    node_request_router calls_;
+    node_request_router router_;
     http_server server_;
 };
 
--- a/lib/transport/http_peer_client.cpp
+++ b/lib/transport/http_peer_client.cpp
@@ -23,25 +23,25 @@
 absl::Status status_of(const http_result& result)
 {
     if (result.error == http_error::connect_failed) {
-        return absl::UnavailableError("no connection to the node");
+        return absl::UnavailableError("cannot connect to the node");
     }
     if (result.error == http_error::timed_out) {
-        return absl::DeadlineExceededError("the node did not answer in time");
+        return absl::DeadlineExceededError("the request to the node timed out");
     }
     if (result.error != http_error::none) {
-        return absl::UnknownError("the connection to the node was lost");
+        return absl::UnknownError("no complete response was received from the node");
     }
     if (result.response.status == status_ok) {
         return absl::OkStatus();
     }
-    const std::string message = str_cat("the node answered with status ", result.response.status,
+    const std::string message = str_cat("the node responded with status ", result.response.status,
                                         ": ", result.response.body);
     return result.response.status == status_unavailable ? absl::UnavailableError(message)
                                                         : absl::UnknownError(message);
 }
 
-/// What the end of an exchange says about a call. Only a connection that was never made proves that
-/// the node has not got it.
+/// Maps the end of an exchange to the result of the call. Only a connection that was never
+/// established proves that the node did not receive the call.
 call_result result_of(const http_result& result)
 {
     if (result.error == http_error::connect_failed) {
@@ -54,7 +54,8 @@
     return from_wire(reply);
 }
 
-/// A failed connection proves nothing when an earlier copy of the call may have run.
+/// Reports a forward that got no reply as owner_unreachable with an unknown outcome, as an earlier
+/// copy of the call may have run.
 call_result map_to_owner_unreachable(call_result result)
 {
     const bool no_reply = !result.load && (result.reason == reason_code::peer_unreachable ||
@@ -94,7 +95,7 @@
         wire::SettleRequest request;
         request.set_target_instance(executor.instance);
         request.set_idempotency_key(key);
-        // The connection that lost the answer may lose this one as well.
+        // The pooled connection on which the call's reply was lost may lose this reply as well.
         query<wire::SettleReply>(executor, node_path::settle, request, timeout, true,
                                  std::move(done));
     }
@@ -146,9 +147,9 @@
     void query(const node_reference& target, const char* path, const Request& request,
                milliseconds timeout, bool fresh_connection, Done done)
     {
-        http_request made = make_request(path, request);
-        made.fresh_connection = fresh_connection;
-        client_.send(url_of(target), std::move(made), timeout,
+        http_request http_message = make_request(path, request);
+        http_message.fresh_connection = fresh_connection;
+        client_.send(url_of(target), std::move(http_message), timeout,
                      [done = std::move(done)](const http_result& result) {
                          const auto status = status_of(result);
                          Reply reply;
@@ -156,7 +157,8 @@
                              done(status);
                          }
                          else if (!reply.ParseFromString(result.response.body)) {
-                             done(absl::DataLossError("the answer of the node is not readable"));
+                             done(absl::DataLossError(
+                                 "the response of the node is not a valid Protobuf message"));
                          }
                          else {
                              done(from_wire(reply));
--- a/lib/transport/node_call_paths.h
+++ b/lib/transport/node_call_paths.h
@@ -4,7 +4,7 @@
 
 namespace chestnutstand {
 
-/// Paths of the calls between nodes over HTTP; bodies are the Protobuf messages of node.proto.
+/// Paths of the HTTP requests between nodes; their bodies are Protobuf messages of node.proto.
 namespace node_path {
 inline constexpr const char* execute = "/execute";
 inline constexpr const char* forward = "/forward";
@@ -14,8 +14,8 @@
 inline constexpr const char* members = "/members";
 } // namespace node_path
 
-/// Lets the executor's own answer, for example a timeout of its upstream, arrive before the call
-/// between the nodes times out.
+/// Added to a call's deadline, so that the executor's own result, such as a timeout of its
+/// upstream, arrives before the request between the nodes times out.
 inline constexpr milliseconds reply_grace_period{250};
 
 } // namespace chestnutstand
--- a/lib/transport/request_framer.cpp
+++ b/lib/transport/request_framer.cpp
@@ -32,29 +32,29 @@
 bool is_token(std::string_view text)
 {
     constexpr std::string_view marks = "!#$%&'*+-.^_`|~";
-    return !text.empty() && std::all_of(text.begin(), text.end(), [&](char each) {
-        return absl::ascii_isalnum(static_cast<unsigned char>(each)) ||
-               marks.find(each) != std::string_view::npos;
+    return !text.empty() && std::all_of(text.begin(), text.end(), [&](char c) {
+        return absl::ascii_isalnum(static_cast<unsigned char>(c)) ||
+               marks.find(c) != std::string_view::npos;
     });
 }
 
 bool is_field_value(std::string_view text)
 {
-    return std::none_of(text.begin(), text.end(), [](char each) {
-        return each != '\t' && absl::ascii_iscntrl(static_cast<unsigned char>(each));
+    return std::none_of(text.begin(), text.end(), [](char c) {
+        return c != '\t' && absl::ascii_iscntrl(static_cast<unsigned char>(c));
     });
 }
 
-// A fragment or an unencoded character would be read differently by the next hop.
+// The next hop may parse a fragment or an unencoded character differently.
 bool is_origin_form(std::string_view target)
 {
     return !target.empty() && target.front() == '/' &&
-           std::all_of(target.begin(), target.end(), [](char each) {
-               return absl::ascii_isgraph(static_cast<unsigned char>(each)) && each != '#';
+           std::all_of(target.begin(), target.end(), [](char c) {
+               return absl::ascii_isgraph(static_cast<unsigned char>(c)) && c != '#';
            });
 }
 
-/// Takes one line off the front of a block.
+/// Removes one line from the front of the block and returns it without the line end.
 std::string_view take_line(std::string_view& block)
 {
     const auto end = block.find(line_end);
@@ -63,9 +63,9 @@
     return line;
 }
 
-/// Pistache checks method and version. The query and the headers are kept from it: it reorders the
-/// former and refuses values of the latter that only concern the upstream.
-std::optional<request_refusal> parse_request_line(std::string_view line, framed_request& into)
+/// Uses Pistache to check only the method and the version. Its parser would reorder the query and
+/// refuse header values that only concern the upstream.
+std::optional<request_refusal> parse_request_line(std::string_view line, framed_request& framed)
 {
     const auto first = line.find(' ');
     const auto last = line.rfind(' ');
@@ -73,12 +73,12 @@
         return malformed("the request line must be METHOD TARGET VERSION");
     }
     const std::string_view target = line.substr(first + 1, last - first - 1);
-    into.request.method = std::string{line.substr(0, first)};
-    if (!is_token(into.request.method) || !is_origin_form(target)) {
+    framed.request.method = std::string{line.substr(0, first)};
+    if (!is_token(framed.request.method) || !is_origin_form(target)) {
         return malformed("the request line must have a method and a target that starts with /");
     }
     const std::string message =
-        absl::StrCat(into.request.method, " / ", std::string{line.substr(last + 1)}, "\r\n\r\n");
+        absl::StrCat(framed.request.method, " / ", std::string{line.substr(last + 1)}, "\r\n\r\n");
     http::RequestParser parser{message.size()};
     parser.feed(message.data(), message.size());
     try {
@@ -89,16 +89,17 @@
     catch (const http::HttpError& error) {
         return malformed(error.reason());
     }
-    into.request.target = std::string{target};
-    into.keep_alive = parser.request.version() == http::Version::Http11;
+    framed.request.target = std::string{target};
+    framed.keep_alive = parser.request.version() == http::Version::Http11;
     return std::nullopt;
 }
 
-std::optional<request_refusal> parse_field(std::string_view line, http_request& into)
+std::optional<request_refusal> parse_field(std::string_view line, http_request& request)
 {
     const auto colon = line.find(':');
     const std::string_view name = line.substr(0, colon);
-    // A folded line or a blank before the colon starts or ends the name with a blank.
+    // Also rejects a folded line and a space before the colon: the name then begins or ends with
+    // one.
     if (colon == std::string_view::npos || !is_token(name)) {
         return malformed("a header line must be NAME: VALUE");
     }
@@ -106,7 +107,7 @@
     if (!is_field_value(value)) {
         return malformed(absl::StrCat("header ", std::string{name}, " has a control character"));
     }
-    into.headers.push_back({std::string{name}, std::string{value}});
+    request.headers.push_back({std::string{name}, std::string{value}});
     return std::nullopt;
 }
 
@@ -130,7 +131,7 @@
     });
 }
 
-/// Whether a line ends with a bare line feed, which some servers take for a line end and some not.
+/// Whether the text has a bare line feed, which only some servers treat as a line end.
 bool has_bare_lf(std::string_view text, std::size_t from)
 {
     for (auto at = text.find('\n', from); at != std::string_view::npos;
@@ -271,7 +272,7 @@
     if (const auto expected = find_header(request.headers, "expect")) {
         if (!header_name_equal(*expected, "100-continue")) {
             return request_refusal{status_expectation_failed, reason_code::malformed_request,
-                                   "the only expectation that is met is 100-continue",
+                                   "the only supported expectation is 100-continue",
                                    request.headers};
         }
         result.expects_continue = result.body_bytes > 0 || result.chunks;
@@ -280,34 +281,34 @@
     return result;
 }
 
-std::optional<request_refusal> request_framer::read_body_length(head& into) const
+std::optional<request_refusal> request_framer::read_body_length(head& result) const
 {
-    const http_request& request = into.parsed.request;
+    const http_request& request = result.parsed.request;
     const std::size_t lengths = count_headers(request, "content-length");
     if (count_headers(request, "transfer-encoding") > 0) {
         if (lengths > 0) {
-            return malformed("Content-Length and Transfer-Encoding exclude each other");
+            return malformed("a request must not have both Content-Length and Transfer-Encoding");
         }
         if (count_headers(request, "transfer-encoding") > 1 ||
             !header_name_equal(*find_header(request.headers, "transfer-encoding"), "chunked")) {
-            return malformed("the only transfer encoding that is read is chunked");
+            return malformed("the only supported transfer encoding is chunked");
         }
-        into.chunks.emplace(max_body_bytes_);
+        result.chunks.emplace(max_body_bytes_);
         return std::nullopt;
     }
     if (lengths == 0) {
         return std::nullopt;
     }
     const std::string_view text = *find_header(request.headers, "content-length");
-    const bool digits = !text.empty() && std::all_of(text.begin(), text.end(), [](char each) {
-        return absl::ascii_isdigit(static_cast<unsigned char>(each));
+    const bool digits = !text.empty() && std::all_of(text.begin(), text.end(), [](char c) {
+        return absl::ascii_isdigit(static_cast<unsigned char>(c));
     });
     if (lengths > 1 || !digits) {
         return malformed("Content-Length must be one non-negative integer");
     }
     const char* end = text.data() + text.size();
-    const bool fits = std::from_chars(text.data(), end, into.body_bytes).ec == std::errc{};
-    if (!fits || into.body_bytes > max_body_bytes_) {
+    const bool fits = std::from_chars(text.data(), end, result.body_bytes).ec == std::errc{};
+    if (!fits || result.body_bytes > max_body_bytes_) {
         return body_too_large();
     }
     return std::nullopt;
--- a/lib/transport/request_framer.h
+++ b/lib/transport/request_framer.h
@@ -14,34 +14,34 @@
 
 struct framed_request {
     http_request request;
-    /// Whether the client wants to use the connection again.
+    /// Whether the client allows the connection to be reused.
     bool keep_alive = true;
 };
 
-/// Nothing when the request is not complete yet.
+/// std::monostate while the request is incomplete.
 using framing_result = std::variant<std::monostate, framed_request, request_refusal>;
 
-/// Cuts the bytes of one client connection into requests. Pistache's own framing loses pipelined
-/// requests and repeated header lines, and accepts ambiguous lengths.
+/// Splits the byte stream of one client connection into requests. Pistache's own parser loses
+/// pipelined requests and repeated header lines, and accepts ambiguous lengths.
 class request_framer {
 public:
     request_framer(std::size_t max_header_bytes, std::size_t max_body_bytes);
 
-    /// Limits from the next request on.
+    /// Sets the limits for the next request.
     void set_limits(std::size_t max_header_bytes, std::size_t max_body_bytes);
 
     void add(std::string_view bytes) { buffer_.append(bytes); }
 
-    /// Takes the next complete request out of the buffer.
+    /// Removes the next complete request from the buffer and returns it.
     framing_result next();
 
-    /// Refusal of a request that is not complete.
+    /// Refusal of the current incomplete request.
     request_refusal refuse_incomplete(int status, std::string detail) const;
 
-    /// Whether the client waits for 100 Continue before it sends the body; true once per request.
+    /// Whether the client waits for 100 Continue to send the body; true once per request.
     bool consume_expect_continue();
 
-    /// Whether no byte of a further request has arrived.
+    /// Whether no part of a further request has arrived.
     bool empty() const { return buffer_.empty() && !head_; }
 
     std::size_t buffered() const { return buffer_.size(); }
@@ -51,7 +51,7 @@
     struct head {
         framed_request parsed;
         std::size_t body_bytes = 0;
-        /// Set for a body that comes in chunks.
+        /// Set for a body with chunked transfer encoding.
         std::optional<chunked_body> chunks;
         bool expects_continue = false;
     };
@@ -60,14 +60,14 @@
     framing_result next_chunked();
     request_refusal body_too_large() const;
     std::variant<head, request_refusal> parse_head(std::string_view block) const;
-    std::optional<request_refusal> read_body_length(head& into) const;
+    std::optional<request_refusal> read_body_length(head& result) const;
 
     std::size_t max_header_bytes_;
     std::size_t max_body_bytes_;
     std::string buffer_;
-    /// Bytes of the buffer that are known not to contain the end of the header block.
+    /// Length of the prefix of the buffer that does not contain the end of the header block.
     std::size_t scanned_bytes_ = 0;
-    /// Header block of the request whose body is still arriving.
+    /// Head of the request whose body is incomplete.
     std::optional<head> head_;
 };
 
--- a/lib/transport/server_transport.cpp
+++ b/lib/transport/server_transport.cpp
@@ -10,13 +10,13 @@
 namespace {
 
 constexpr int status_request_timeout = 408;
-// After a refusal the client may still be sending. Closing at once would reset the connection and
-// destroy the response before the client has read it.
+// The client may still be sending when a request is refused. Closing at once would reset the
+// connection and discard the response before the client has read it.
 constexpr milliseconds linger_timeout{1'000};
 
-http_response plain_text_refusal(const request_refusal& why)
+http_response plain_text_refusal(const request_refusal& refusal)
 {
-    return {why.status, {{"Content-Type", "text/plain"}}, why.detail};
+    return {refusal.status, {{"Content-Type", "text/plain"}}, refusal.detail};
 }
 
 Pistache::Polling::Tag tag_of(int descriptor)
@@ -67,13 +67,13 @@
         timer_fired = timer_fired || event.getTag() == tag_of(timer_);
     }
     tcp::Transport::onReady(ready);
-    // After Pistache's own events: a write or a close would invalidate events that it has not seen.
+    // Only after Pistache has handled all of its events, which a write or a close could invalidate.
     if (timer_fired) {
         check_deadlines();
     }
-    for (auto entries = queue_->take(); !entries.empty(); entries = queue_->take()) {
+    for (auto entries = queue_->take_all(); !entries.empty(); entries = queue_->take_all()) {
         for (const auto& entry : entries) {
-            deliver(entry);
+            send_response(entry);
         }
     }
     close_pending();
@@ -117,16 +117,17 @@
     client.framer.add(bytes);
     if (client.slot &&
         client.framer.buffered() > client.limits.max_header_bytes + client.limits.max_body_bytes) {
-        // The client pipelines more than is kept for it.
+        // The client has pipelined more than one request of the largest size.
         client.broken = true;
         pending_close_.push_back(peer->getID());
         return;
     }
-    advance(client);
+    process_input(client);
 }
 
-/// Handles requests until one has to be waited for.
-void server_transport::advance(connection& client)
+/// Handles the next buffered request, or waits for the client when none is complete. Does nothing
+/// while a request is handled or a response is written.
+void server_transport::process_input(connection& client)
 {
     if (client.slot || client.writing || client.closing || client.broken) {
         return;
@@ -136,7 +137,7 @@
     }
 }
 
-/// Whether a request was complete or refused.
+/// Returns whether a request was passed to the handler or refused.
 bool server_transport::handle_next_request(connection& client)
 {
     auto next = client.framer.next();
@@ -171,25 +172,26 @@
     arm_timer(*client.deadline);
 }
 
-void server_transport::refuse(connection& client, const request_refusal& why)
+void server_transport::refuse(connection& client, const request_refusal& refusal)
 {
-    const auto& make = shared_->options.make_refusal_response;
-    const http_response response = make ? make(why) : plain_text_refusal(why);
+    const auto& make_response = shared_->options.make_refusal_response;
+    const http_response response =
+        make_response ? make_response(refusal) : plain_text_refusal(refusal);
     client.closing = true;
     client.framer.discard();
     write(client, serialize(response, false, true));
 }
 
-void server_transport::deliver(const response_queue::entry& ready)
+void server_transport::send_response(const response_queue::entry& entry)
 {
-    const auto found = connections_.find(ready.slot->connection());
-    if (found == connections_.end() || found->second.slot != ready.slot) {
+    const auto found = connections_.find(entry.slot->connection());
+    if (found == connections_.end() || found->second.slot != entry.slot) {
         return;
     }
     connection& client = found->second;
     client.slot.reset();
-    client.closing = !ready.slot->keep_alive() || has_connection_close(ready.response);
-    write(client, serialize(ready.response, ready.slot->head_only(), client.closing));
+    client.closing = !entry.slot->keep_alive() || has_connection_close(entry.response);
+    write(client, serialize(entry.response, entry.slot->head_only(), client.closing));
 }
 
 void server_transport::write(connection& client, std::string bytes)
@@ -199,16 +201,16 @@
     const std::size_t size = bytes.size();
     client.deadline = ms_clock::now() + client.limits.request_timeout;
     client.peer->send(Pistache::RawBuffer{std::move(bytes), size}, MSG_NOSIGNAL)
-        .then([this, id](ssize_t) { written(id, true); },
-              [this, id](const std::exception_ptr&) { written(id, false); });
-    // Writes at once, while the descriptor is known to belong to this connection.
+        .then([this, id](ssize_t) { on_written(id, true); },
+              [this, id](const std::exception_ptr&) { on_written(id, false); });
+    // Writes immediately, while the descriptor still belongs to this connection.
     flush();
     if (client.writing && client.deadline) {
         arm_timer(*client.deadline);
     }
 }
 
-void server_transport::written(std::size_t id, bool whole)
+void server_transport::on_written(std::size_t id, bool complete)
 {
     const auto found = connections_.find(id);
     if (found == connections_.end()) {
@@ -216,7 +218,7 @@
     }
     connection& client = found->second;
     client.writing = false;
-    client.broken = client.broken || !whole;
+    client.broken = client.broken || !complete;
     if (client.broken) {
         pending_close_.push_back(id);
         return;
@@ -228,7 +230,7 @@
         return;
     }
     client.deadline.reset();
-    advance(client);
+    process_input(client);
 }
 
 void server_transport::check_deadlines()
@@ -254,15 +256,16 @@
         arm_timer(*next);
     }
     for (const std::size_t id : due) {
-        expire(connections_.at(id));
+        handle_timeout(connections_.at(id));
     }
 }
 
-void server_transport::expire(connection& client)
+void server_transport::handle_timeout(connection& client)
 {
     if (client.in_request && !client.writing && !client.closing) {
-        refuse(client, client.framer.refuse_incomplete(status_request_timeout,
-                                                       "the request was not complete in time"));
+        refuse(client,
+               client.framer.refuse_incomplete(status_request_timeout,
+                                               "the request was not complete before its timeout"));
         return;
     }
     pending_close_.push_back(client.peer->getID());
--- a/lib/transport/server_transport.h
+++ b/lib/transport/server_transport.h
@@ -23,7 +23,7 @@
 namespace tcp = Pistache::Tcp;
 using peer_ptr = std::shared_ptr<tcp::Peer>;
 
-/// State of one client connection; used only by the thread that owns the connection.
+/// State of one client connection; accessed only by the thread that owns the connection.
 struct connection {
     connection(peer_ptr client, const http_server_limits& current)
         : peer{std::move(client)}, limits{current}, framer{current.max_header_bytes,
@@ -33,23 +33,24 @@
     }
 
     peer_ptr peer;
-    /// In force since the current request began.
+    /// Limits for the current request, read when it began.
     http_server_limits limits;
     request_framer framer;
-    /// The request that is being handled.
+    /// Set while the handler processes a request.
     std::shared_ptr<response_slot> slot;
-    /// When the wait for the client ends; nothing while it waits for a response.
+    /// When the server stops waiting for the client; unset while the handler processes a request.
     std::optional<time_point> deadline;
-    /// Whether a part of the current request has arrived.
+    /// Whether a part of an incomplete request has arrived.
     bool in_request = false;
-    /// A response is being written.
+    /// Whether a response is being written.
     bool writing = false;
-    /// The last response has been written or is being written.
+    /// Whether the response that is or was written last ends the connection.
     bool closing = false;
+    /// Whether to close the connection without a further response.
     bool broken = false;
 };
 
-/// What the transports of one server share.
+/// State that the transports of one server share.
 struct shared_server_state {
     http_server_options options;
     http_server::handler handle;
@@ -66,7 +67,7 @@
 
 class server_transport;
 
-/// Passes the events of connections on to the transport that owns them.
+/// Forwards connection events to the transport that owns the connection.
 class event_handler final : public tcp::Handler {
 public:
     std::shared_ptr<tcp::Handler> clone() const override
@@ -82,9 +83,9 @@
     server_transport& owner();
 };
 
-/// Pistache transport whose connections are written to only by its own thread. Pistache queues
-/// writes by descriptor, so a write queued by another thread can reach a new connection that got
-/// the descriptor of a closed one.
+/// Pistache transport that writes to its connections only on its own thread. Pistache queues writes
+/// by descriptor, so a write queued by another thread could reach a new connection that reuses the
+/// descriptor of a closed one.
 class server_transport final : public tcp::Transport {
 public:
     server_transport(std::shared_ptr<shared_server_state> shared,
@@ -116,15 +117,15 @@
     void disconnect(const peer_ptr& peer);
 
 private:
-    void advance(connection& client);
+    void process_input(connection& client);
     bool handle_next_request(connection& client);
-    void refuse(connection& client, const request_refusal& why);
-    void deliver(const response_queue::entry& ready);
+    void refuse(connection& client, const request_refusal& refusal);
+    void send_response(const response_queue::entry& entry);
     void write(connection& client, std::string bytes);
-    void written(std::size_t id, bool whole);
+    void on_written(std::size_t id, bool complete);
     void wait_for_client(connection& client);
     void check_deadlines();
-    void expire(connection& client);
+    void handle_timeout(connection& client);
     void arm_timer(time_point due);
     void close_pending();
     void close_all();
@@ -133,7 +134,7 @@
     std::shared_ptr<tcp::Handler> handler_;
     std::shared_ptr<response_queue> queue_ = std::make_shared<response_queue>();
     std::map<std::size_t, connection> connections_;
-    /// Connections to be closed when no event is being handled.
+    /// Connections to close once the current events are handled.
     std::vector<std::size_t> pending_close_;
     int timer_ = -1;
     std::optional<time_point> timer_due_;
--- a/lib/transport/wire_convert.cpp
+++ b/lib/transport/wire_convert.cpp
@@ -50,7 +50,7 @@
                                         wire::SETTLE_FENCED, wire::SETTLE_UNKNOWN,
                                         wire::SETTLE_WRONG_INSTANCE};
 
-/// Index of a wire value; values that this version does not know count as the fallback.
+/// Enumerator for a wire value; the fallback for a value that this version does not know.
 template <typename Values, typename Value, typename Enum>
 Enum value_from_wire(const Values& values, Value wanted, Enum fallback)
 {
@@ -95,7 +95,7 @@
     result.idempotency_key = call.idempotency_key();
     result.request_id = call.request_id();
     result.movable = call.movable();
-    // An unknown value must not make a call repeatable.
+    // An unknown value must not make the call repeatable.
     result.repeat =
         value_from_wire(wire_repeatabilities, call.repeatability(), repeatability::at_most_once);
     result.request.method = call.request().method();
--- a/lib/transport/wire_convert.h
+++ b/lib/transport/wire_convert.h
@@ -6,7 +6,7 @@
 
 namespace chestnutstand {
 
-// Conversions between the messages of node.proto and the types of the decision code.
+// Conversions between the messages of node.proto and the C++ types that the rest of the code uses.
 
 wire::Call to_wire(const service_call& call);
 service_call from_wire(const wire::Call& call);
