--- a/unittests/transport/descriptor_reuse_test.cpp
+++ b/unittests/transport/descriptor_reuse_test.cpp
@@ -24,11 +24,11 @@
 
 struct client_counts {
     std::atomic<int> answered = 0;
-    std::atomic<int> foreign = 0;
+    std::atomic<int> misdelivered = 0;
     std::atomic<int> missing = 0;
 };
 
-/// One short connection; half of them are closed while their response is on its way.
+/// Runs one short connection; half of them are closed before the response has arrived.
 void run_connection(std::uint16_t port, const std::string& name, std::minstd_rand& random,
                     client_counts& counts)
 {
@@ -47,27 +47,27 @@
         ++counts.missing;
     }
     else if (received.substr(body + 4, name.size() + 1) != "/" + name) {
-        ++counts.foreign;
+        ++counts.misdelivered;
     }
     else {
         ++counts.answered;
     }
 }
 
-// Guards against a late response that reaches the new connection to which the kernel gave the
-// descriptor of the closed one.
+// Guards against a late response that is written to a new connection to which the kernel has
+// assigned the descriptor of the closed one.
 TEST(http_server_descriptors, a_client_only_gets_the_response_to_its_own_request)
 {
     http_server_options options;
     options.threads = 2;
-    std::array<control_loop, responder_threads> late;
+    std::array<control_loop, responder_threads> responder_loops;
     std::atomic<unsigned> next = 0;
     http_server server{
         options, [&](const http_request& request, const std::shared_ptr<responder>& to) {
-            const unsigned turn = next++;
-            late.at(turn % responder_threads)
-                .post_after(milliseconds{(turn % 7) * 0.1}, [to, target = request.target + "#"] {
-                    // Large enough to need more than one write at times.
+            const unsigned number = next++;
+            responder_loops.at(number % responder_threads)
+                .post_after(milliseconds{(number % 7) * 0.1}, [to, target = request.target + "#"] {
+                    // Large enough to sometimes need more than one write.
                     to->send({200, {}, target + std::string(5'000, '.')});
                 });
         }};
@@ -84,13 +84,13 @@
             }
         });
     }
-    for (auto& each : clients) {
-        each.join();
+    for (auto& client : clients) {
+        client.join();
     }
-    for (auto& each : late) {
-        each.stop();
+    for (auto& loop : responder_loops) {
+        loop.stop();
     }
-    EXPECT_EQ(counts.foreign, 0);
+    EXPECT_EQ(counts.misdelivered, 0);
     EXPECT_EQ(counts.missing, 0);
     EXPECT_GT(counts.answered, 0);
 }
--- a/unittests/transport/http_client_test.cpp
+++ b/unittests/transport/http_client_test.cpp
@@ -37,15 +37,15 @@
     return result;
 }
 
-/// Server whose test decides what each connection does with each request it receives.
+/// Server whose requests are handled by a function of the test.
 class fake_server {
 public:
-    /// Runs for each request with the numbers of its connection and of the request on it; false
-    /// ends the connection.
-    using script = std::function<bool(raw_socket& connection, int number, int request)>;
+    /// Called for each request with the number of its connection and its number on that connection;
+    /// returns false to close the connection.
+    using request_handler = std::function<bool(raw_socket& connection, int number, int request)>;
 
-    explicit fake_server(script answer)
-        : answer_{std::move(answer)}, listener_{raw_socket::listen_on_loopback()},
+    explicit fake_server(request_handler handle)
+        : handle_{std::move(handle)}, listener_{raw_socket::listen_on_loopback()},
           port_{listener_.port()}, acceptor_{[this] { run(); }}
     {
     }
@@ -57,8 +57,8 @@
         stopping_ = true;
         raw_socket::connect_to(port_);
         acceptor_.join();
-        for (auto& each : serving_) {
-            each.join();
+        for (auto& thread : serving_) {
+            thread.join();
         }
     }
 
@@ -80,7 +80,7 @@
                     for (int request = 0; !connection.receive_until_text("\r\n\r\n").empty();
                          ++request) {
                         ++requests_;
-                        if (!answer_(connection, number, request)) {
+                        if (!handle_(connection, number, request)) {
                             return;
                         }
                     }
@@ -89,7 +89,7 @@
         }
     }
 
-    script answer_;
+    request_handler handle_;
     raw_socket listener_;
     std::uint16_t port_;
     std::atomic<bool> stopping_ = false;
@@ -118,7 +118,7 @@
     return holds();
 }
 
-/// Result of one request whose connection sends the bytes and then closes.
+/// Error of a request to which the server sends the bytes and then closes the connection.
 http_error error_after(const std::string& bytes)
 {
     fake_server server{[&](raw_socket& connection, int, int) {
@@ -131,7 +131,7 @@
     return error;
 }
 
-// Guards against parts of a response that pass for the whole.
+// Guards against a partial response that is taken for a complete one.
 TEST(http_client, refuses_responses_that_are_not_whole)
 {
     EXPECT_EQ(error_after(ok("12345")), http_error::none);
@@ -150,7 +150,7 @@
               http_error::too_large);
 }
 
-// Guards against a lost request that is reported as one that may have run.
+// Guards against a request that was never sent but is reported as one that may have run.
 TEST(http_client, reports_a_refused_connection_as_connect_failed)
 {
     auto gone = raw_socket::listen_on_loopback();
@@ -160,7 +160,7 @@
     EXPECT_EQ(get(*client, url).error, http_error::connect_failed);
 }
 
-// Guards against a second execution: libcurl repeats a request when a pooled connection closes
+// Guards against a second execution: libcurl resends a request when a pooled connection closes
 // without a response.
 TEST(http_client, never_repeats_a_request)
 {
@@ -181,7 +181,7 @@
     }
 }
 
-// Guards against a late response that is taken for the response to a later request.
+// Guards against a late response that is attributed to a later request.
 TEST(http_client, never_takes_a_late_response_for_another)
 {
     fake_server server{[](raw_socket& connection, int number, int) {
@@ -201,7 +201,7 @@
     EXPECT_TRUE(eventually([&] { return server.closed_by_client() == 1; }));
 }
 
-// Guards against a cancelled request whose upstream goes on because its connection stays open.
+// Guards against an upstream that continues a cancelled request because the connection stays open.
 TEST(http_client, cancel_closes_the_connection)
 {
     std::atomic<bool> received = false;
@@ -219,12 +219,12 @@
     EXPECT_TRUE(eventually([&] { return server.closed_by_client() == 1; }));
 }
 
-// Guards against a silent pooled connection that stops more than one request.
+// Guards against an unresponsive pooled connection that fails more than one request.
 TEST(http_client, abandons_an_unresponsive_pooled_connection)
 {
     fake_server server{[](raw_socket& connection, int number, int request) {
-        const bool silent = number == 0 && request > 0;
-        return silent || connection.send(ok("whole"));
+        const bool unresponsive = number == 0 && request > 0;
+        return unresponsive || connection.send(ok("whole"));
     }};
     const auto client = make_http_client();
     EXPECT_EQ(get(*client, server.url()).error, http_error::none);
@@ -233,14 +233,15 @@
     EXPECT_EQ(server.connections(), 2);
 }
 
-// Guards against a connection on which one extra response shifts all that follow.
+// Guards against a surplus response after which each later request on the connection gets the
+// response to the one before.
 TEST(http_client, closes_a_connection_whose_response_is_for_another_request)
 {
-    const auto answer = [](const std::string& id) {
+    const auto response = [](const std::string& id) {
         return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nId: " + id + "\r\n\r\n";
     };
     fake_server server{[&](raw_socket& connection, int number, int) {
-        return connection.send(number == 0 ? answer("late") : answer("mine"));
+        return connection.send(number == 0 ? response("late") : response("mine"));
     }};
     const auto client = make_http_client();
     const auto send = [&] {
@@ -257,7 +258,7 @@
     EXPECT_EQ(server.connections(), 2);
 }
 
-// Guards against responses that are given to the wrong one of many concurrent requests.
+// Guards against responses that are delivered to the wrong one of several concurrent requests.
 TEST(http_client, gives_each_request_its_own_response)
 {
     fake_server server{[](raw_socket& connection, int number, int) {
@@ -265,17 +266,17 @@
         return connection.send(ok("from " + std::to_string(number)));
     }};
     const auto client = make_http_client();
-    std::vector<std::future<http_result>> ends;
+    std::vector<std::future<http_result>> results;
     for (int i = 0; i < 32; ++i) {
         auto ended = std::make_shared<std::promise<http_result>>();
-        ends.push_back(ended->get_future());
+        results.push_back(ended->get_future());
         client->send(server.url(), {"GET", "/", {}, "", true}, long_timeout,
                      [ended](http_result result) { ended->set_value(std::move(result)); });
     }
     std::vector<std::string> bodies;
-    bodies.reserve(ends.size());
-    for (auto& each : ends) {
-        bodies.push_back(each.get().response.body);
+    bodies.reserve(results.size());
+    for (auto& result : results) {
+        bodies.push_back(result.get().response.body);
     }
     std::sort(bodies.begin(), bodies.end());
     EXPECT_EQ(std::unique(bodies.begin(), bodies.end()), bodies.end());
--- a/unittests/transport/http_server_test.cpp
+++ b/unittests/transport/http_server_test.cpp
@@ -17,7 +17,7 @@
 
 using chestnutstand::testing::raw_socket;
 
-/// Server that counts the requests and answers with the target, unless a test takes the responder.
+/// Server that records requests and returns the target, or holds the responders for the test.
 class http_server_test : public ::testing::Test {
 protected:
     void SetUp() override
@@ -35,8 +35,8 @@
                 {
                     const std::lock_guard lock{mutex_};
                     requests_.push_back(request);
-                    if (hold_) {
-                        held_.push_back(response);
+                    if (hold_responses_) {
+                        held_responders_.push_back(response);
                         return;
                     }
                 }
@@ -47,7 +47,7 @@
 
     raw_socket connect() { return raw_socket::connect_to(server_->port()); }
 
-    /// The whole answer to bytes after which the server must close the connection.
+    /// Sends bytes after which the server must close the connection, and returns the response.
     std::string response_until_close(const std::string& bytes)
     {
         const auto client = connect();
@@ -63,8 +63,8 @@
         for (int i = 0; i < 10'000; ++i) {
             {
                 const std::lock_guard lock{mutex_};
-                if (held_.size() >= count) {
-                    return held_;
+                if (held_responders_.size() >= count) {
+                    return held_responders_;
                 }
             }
             std::this_thread::sleep_for(milliseconds{1});
@@ -75,9 +75,9 @@
     http_server_options options_;
     std::atomic<int> handled_ = 0;
     std::mutex mutex_;
-    bool hold_ = false;
+    bool hold_responses_ = false;
     std::vector<http_request> requests_;
-    std::vector<std::shared_ptr<responder>> held_;
+    std::vector<std::shared_ptr<responder>> held_responders_;
     std::unique_ptr<http_server> server_;
 };
 
@@ -94,10 +94,10 @@
     EXPECT_EQ(requests_[1].body, "abc");
 }
 
-// Guards against two requests of one connection at work at once, which could cross their answers.
+// Guards against two concurrent requests of one connection, whose responses could be swapped.
 TEST_F(http_server_test, handles_one_request_of_a_connection_at_a_time)
 {
-    hold_ = true;
+    hold_responses_ = true;
     const auto client = connect();
     client.send("GET /1 HTTP/1.1\r\nHost: x\r\n\r\nGET /2 HTTP/1.1\r\nHost: x\r\n\r\n");
     const auto held = wait_for_pending_responders(1);
@@ -112,7 +112,7 @@
     EXPECT_LT(received.find("first"), received.find("second"));
 }
 
-// Guards against changes of the target or the headers on the way to the upstream.
+// Guards against a target or headers that are changed before they reach the upstream.
 TEST_F(http_server_test, keeps_target_and_headers_as_sent)
 {
     const auto client = connect();
@@ -134,7 +134,7 @@
     int status;
 };
 
-// Guards against malformed input that reaches a handler or gets no clear refusal.
+// Guards against malformed requests that reach the handler or are refused with a wrong status.
 TEST_F(http_server_test, refuses_malformed_requests_and_closes)
 {
     const std::string start = "POST /x HTTP/1.1\r\nHost: x\r\n";
@@ -179,18 +179,18 @@
         {start + "X: " + std::string(20'000, 'a'), 431},
         {"GET /" + std::string(20'000, 'a'), 431},
     };
-    for (const auto& each : inputs) {
-        const auto received = response_until_close(each.bytes);
-        EXPECT_EQ(received.rfind("HTTP/1.1 " + std::to_string(each.status) + " ", 0), 0U)
-            << each.bytes.substr(0, 100) << "\ngot\n"
+    for (const auto& input : inputs) {
+        const auto received = response_until_close(input.bytes);
+        EXPECT_EQ(received.rfind("HTTP/1.1 " + std::to_string(input.status) + " ", 0), 0U)
+            << input.bytes.substr(0, 100) << "\ngot\n"
             << received;
         EXPECT_NE(received.find("Connection: close\r\n"), std::string::npos);
     }
     EXPECT_EQ(handled_, 0);
 }
 
-// Guards against a refusal that the client cannot read because the connection was reset while it
-// was still sending its body.
+// Guards against a refusal that the client cannot read because the server resets the connection
+// while the client is still sending the body.
 TEST_F(http_server_test, answers_a_body_that_is_too_large)
 {
     const auto received =
@@ -200,7 +200,7 @@
     EXPECT_EQ(handled_, 0);
 }
 
-// Guards against a limit that refuses bodies of just the allowed size.
+// Guards against a limit that refuses a body of exactly the allowed size.
 TEST_F(http_server_test, takes_a_body_of_the_largest_size)
 {
     const auto client = connect();
@@ -210,7 +210,7 @@
     EXPECT_EQ(requests_.at(0).body.size(), 1'048'576U);
 }
 
-// Guards against clients that hold a connection with a request that never becomes complete.
+// Guards against clients that occupy a connection with a request that is never completed.
 TEST_F(http_server_test, refuses_a_request_that_is_not_complete_in_time)
 {
     for (const std::string part : {"GET /x HT", "GET /x HTTP/1.1\r\nHost: x\r\n",
@@ -220,7 +220,7 @@
     EXPECT_EQ(handled_, 0);
 }
 
-// Guards against a client that keeps a request alive by sending byte after byte.
+// Guards against a client that extends the request timeout by sending single bytes.
 TEST_F(http_server_test, refuses_a_request_sent_too_slowly)
 {
     const auto client = connect();
@@ -234,7 +234,7 @@
     EXPECT_EQ(handled_, 0);
 }
 
-// Guards against a client that waits for ever for leave to send its body.
+// Guards against a client that waits forever for 100 Continue before it sends the body.
 TEST_F(http_server_test, sends_100_continue_to_a_waiting_client)
 {
     const auto client = connect();
@@ -244,7 +244,7 @@
     EXPECT_EQ(client.receive_message().rfind("HTTP/1.1 200 ", 0), 0U);
 }
 
-// Guards against a connection that is said to be closed and stays open.
+// Guards against a connection that stays open after a response with Connection: close.
 TEST_F(http_server_test, closes_the_connection_after_connection_close)
 {
     for (const std::string request : {"GET /x HTTP/1.1\r\nHost: x\r\nConnection: a, Close\r\n\r\n",
@@ -252,7 +252,7 @@
         const auto received = response_until_close(request);
         EXPECT_NE(received.find("Connection: close\r\n"), std::string::npos);
     }
-    hold_ = true;
+    hold_responses_ = true;
     const auto client = connect();
     client.send("GET /x HTTP/1.1\r\nHost: x\r\n\r\n");
     wait_for_pending_responders(1).at(0)->send({200, {{"Connection", "close"}}, "end"});
@@ -261,7 +261,7 @@
     EXPECT_TRUE(closed);
 }
 
-// Guards against a body after a response to HEAD, which the client takes for the next response.
+// Guards against a body in a response to HEAD, which the client would parse as the next response.
 TEST_F(http_server_test, sends_no_body_in_response_to_head)
 {
     const auto client = connect();
@@ -271,10 +271,10 @@
     EXPECT_NE(received.find("Content-Length: 5\r\n"), std::string::npos);
 }
 
-// Guards against work for a caller that has gone.
+// Guards against further work for a caller that has disconnected.
 TEST_F(http_server_test, cancels_when_the_client_disconnects)
 {
-    hold_ = true;
+    hold_responses_ = true;
     auto client = connect();
     client.send("GET /x HTTP/1.1\r\nHost: x\r\n\r\n");
     const auto held = wait_for_pending_responders(1);
@@ -287,18 +287,19 @@
     EXPECT_TRUE(held[0]->disconnected()->cancelled());
 }
 
-// Guards against refusals that do not have the form of the port's other errors.
+// Guards against refusals whose format differs from the other errors on the same port.
 TEST_F(http_server_test, uses_the_configured_refusal_response)
 {
-    options_.make_refusal_response = [](const request_refusal& why) {
-        return http_response{why.status, {}, "refused as " + std::string{to_string(why.reason)}};
+    options_.make_refusal_response = [](const request_refusal& refusal) {
+        return http_response{
+            refusal.status, {}, "refused as " + std::string{to_string(refusal.reason)}};
     };
     start();
     const auto received = response_until_close("nonsense\r\n\r\n");
     EXPECT_NE(received.find("refused as malformed_request"), std::string::npos) << received;
 }
 
-// Guards against a stopped server that still takes connections or holds old ones.
+// Guards against a stopped server that still accepts connections or keeps existing ones open.
 TEST_F(http_server_test, stop_closes_all_connections)
 {
     const auto client = connect();
@@ -312,16 +313,16 @@
     EXPECT_FALSE(raw_socket::connect_to(port).open());
 }
 
-// Guards against clients that send a body in chunks and are refused, or whose next request is read
-// from the wrong place.
+// Guards against refused chunked bodies, and against a wrong end of the body, from which the next
+// request would be parsed.
 TEST_F(http_server_test, reads_a_body_in_chunks)
 {
     const auto client = connect();
     const std::string bytes = "POST /first HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n"
                               "\r\n3;note=1\r\nabc\r\nA\r\n0123456789\r\n0\r\nTrailer: t\r\n\r\n"
                               "GET /second HTTP/1.1\r\nHost: x\r\n\r\n";
-    for (const char each : bytes.substr(0, bytes.size() - 1)) {
-        client.send(std::string(1, each));
+    for (const char byte : bytes.substr(0, bytes.size() - 1)) {
+        client.send(std::string(1, byte));
     }
     EXPECT_NE(client.receive_message().find("/first"), std::string::npos);
     client.send(bytes.substr(bytes.size() - 1));
@@ -332,7 +333,7 @@
     EXPECT_EQ(requests_[1].body, "");
 }
 
-// Guards against limits that stay as they were when the server started.
+// Guards against changed limits that have no effect until a restart.
 TEST_F(http_server_test, follows_changed_limits)
 {
     std::atomic<std::size_t> body_bytes = 4;
--- a/unittests/transport/node_server_test.cpp
+++ b/unittests/transport/node_server_test.cpp
@@ -20,7 +20,7 @@
 
 constexpr std::uint64_t instance = 17;
 
-/// Answers with the request id, or keeps the calls when told to.
+/// Completes each call with its request id, or holds the calls until release().
 class recording_handler final : public node_handler {
 public:
     void execute(std::uint64_t target_instance, service_call call, call_done done) override
@@ -28,8 +28,8 @@
         const std::lock_guard lock{mutex_};
         ++executed_;
         cancel_ = call.cancel;
-        if (hold_) {
-            held_.push_back(std::move(done));
+        if (hold_calls_) {
+            held_calls_.push_back(std::move(done));
             return;
         }
         if (target_instance != instance) {
@@ -60,7 +60,7 @@
         done(std::move(members));
     }
 
-    void hold() { hold_ = true; }
+    void hold_calls() { hold_calls_ = true; }
     int executed() const
     {
         const std::lock_guard lock{mutex_};
@@ -74,18 +74,18 @@
     void release()
     {
         const std::lock_guard lock{mutex_};
-        for (const auto& done : held_) {
+        for (const auto& done : held_calls_) {
             done(not_run(reason_code::draining));
         }
-        held_.clear();
+        held_calls_.clear();
     }
 
 private:
     mutable std::mutex mutex_;
-    std::atomic<bool> hold_ = false;
+    std::atomic<bool> hold_calls_ = false;
     int executed_ = 0;
     std::shared_ptr<cancellation> cancel_;
-    std::vector<call_done> held_;
+    std::vector<call_done> held_calls_;
 };
 
 service_call make_call(milliseconds timeout = milliseconds{10'000})
@@ -132,7 +132,7 @@
     std::unique_ptr<peer_client> client_ = make_grpc_peer_client();
 };
 
-// Guards against replies that lose the call they belong to.
+// Guards against a reply that does not belong to the call.
 TEST_F(node_server_test, carries_call_and_reply)
 {
     const auto result = execute(*client_, target(), make_call()).get();
@@ -143,24 +143,24 @@
     EXPECT_EQ(execute(*client_, other, make_call()).get().reason, reason_code::wrong_instance);
 }
 
-// Guards against an unknown outcome for a call that no peer can have received.
+// Guards against an unknown outcome for a call that was never sent.
 TEST_F(node_server_test, a_peer_that_was_never_reachable_did_not_run_the_call)
 {
     auto gone = raw_socket::listen_on_loopback();
-    const node_reference nobody{99, "127.0.0.1", gone.port()};
+    const node_reference unreachable{99, "127.0.0.1", gone.port()};
     gone.close();
-    const auto result = execute(*client_, nobody, make_call()).get();
+    const auto result = execute(*client_, unreachable, make_call()).get();
     EXPECT_EQ(result.outcome, call_outcome::not_run);
     EXPECT_EQ(result.reason, reason_code::peer_unreachable);
 }
 
-// Guards against not-run for a call whose connection broke after it was sent.
+// Guards against not-run for a call whose connection breaks after the call was sent.
 TEST_F(node_server_test, a_call_whose_connection_breaks_is_unknown)
 {
     const auto listener = raw_socket::listen_on_loopback();
     const node_reference broken{98, "127.0.0.1", listener.port()};
     std::thread peer{[&] {
-        // Accepts an HTTP/2 connection with an empty SETTINGS frame, reads the call and resets.
+        // Sends an empty HTTP/2 SETTINGS frame, reads the call and resets the connection.
         auto connection = listener.accept();
         connection.send(std::string_view{"\0\0\0\4\0\0\0\0\0", 9});
         connection.receive_until_text("Execute");
@@ -172,10 +172,10 @@
     EXPECT_EQ(result.reason, reason_code::peer_connection_lost);
 }
 
-// Guards against not-run for a call that a stopping peer has cancelled in the middle.
+// Guards against not-run for a running call that its peer cancels when it stops.
 TEST_F(node_server_test, a_call_interrupted_by_peer_shutdown_is_unknown)
 {
-    handler_.hold();
+    handler_.hold_calls();
     auto ended = execute(*client_, target(), make_call());
     ASSERT_TRUE(eventually([&] { return handler_.executed() == 1; }));
     std::thread stop{[&] { server_.stop(milliseconds{0}); }};
@@ -185,10 +185,10 @@
     EXPECT_EQ(result.outcome, call_outcome::unknown);
 }
 
-// Guards against work that goes on for a call that nobody waits for.
+// Guards against a cancelled call that keeps running on the peer.
 TEST_F(node_server_test, cancellation_reaches_the_peer)
 {
-    handler_.hold();
+    handler_.hold_calls();
     const auto call = make_call();
     auto ended = execute(*client_, target(), call);
     ASSERT_TRUE(eventually([&] { return handler_.cancel() != nullptr; }));
@@ -197,11 +197,11 @@
     EXPECT_EQ(ended.get().outcome, call_outcome::unknown);
 }
 
-// Guards against a call that waits for ever for a silent peer, and a late reply that reaches
-// another call.
+// Guards against a call that waits forever for an unresponsive peer, and against a late reply that
+// is attributed to another call.
 TEST_F(node_server_test, a_late_reply_is_dropped)
 {
-    handler_.hold();
+    handler_.hold_calls();
     auto first = execute(*client_, target(), make_call(milliseconds{50}));
     EXPECT_EQ(first.get().outcome, call_outcome::unknown);
     auto second = execute(*client_, target(), make_call());
--- a/unittests/transport/raw_socket.cpp
+++ b/unittests/transport/raw_socket.cpp
@@ -96,8 +96,8 @@
 
 void raw_socket::reset()
 {
-    const linger at_once{1, 0};
-    ::setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+    const linger reset_on_close{1, 0};
+    ::setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
     close();
 }
 
--- a/unittests/transport/raw_socket.h
+++ b/unittests/transport/raw_socket.h
@@ -26,29 +26,30 @@
     raw_socket accept() const;
     bool open() const { return descriptor_ != -1; }
     void close();
-    /// Closes with a reset, so that unsent data is dropped.
+    /// Closes the connection with RST and discards unsent data.
     void reset();
 
     bool send(std::string_view bytes) const;
 
-    /// Receives until the predicate holds for all bytes so far, the peer has closed, or 10 s have
-    /// passed.
+    /// Receives until the predicate holds for all bytes received so far, the peer closes, or no
+    /// data arrives for 10 s.
     template <typename Predicate>
-    std::string receive_until(Predicate enough) const
+    std::string receive_until(Predicate is_complete) const
     {
         std::string received;
-        while (!enough(received) && receive_some(received)) {
+        while (!is_complete(received) && receive_some(received)) {
         }
         return received;
     }
 
-    /// Receives until the text has arrived the given number of times.
+    /// Receives until the text occurs the given number of times.
     std::string receive_until_text(std::string_view text, int times = 1) const;
 
     /// Receives one HTTP message with a Content-Length.
     std::string receive_message() const;
 
-    /// Receives until the peer closes; empty when it does not within 10 s.
+    /// Receives until the peer closes; closed is false when receiving fails before that, for
+    /// example after 10 s without data.
     std::string receive_all(bool& closed) const;
 
 private:
