--- a/tests/history/history.cpp
+++ b/tests/history/history.cpp
@@ -7,7 +7,7 @@
 
 using nlohmann::json;
 
-call_record to_call(const json& line)
+call_record parse_call(const json& line)
 {
     call_record call;
     call.id = line.at("id").get<std::string>();
@@ -15,19 +15,19 @@
     call.payload = line.value("payload", "");
     call.start = line.at("start").get<double>();
     call.end = line.at("end").get<double>();
-    const auto result = outcome_names.find(line.at("outcome").get<std::string>());
+    const auto outcome = outcome_names.find(line.at("outcome").get<std::string>());
     const auto reason = reason_names.find(line.value("reason", "none"));
-    if (!result || !reason) {
+    if (!outcome || !reason) {
         throw std::invalid_argument{"unknown outcome or reason"};
     }
-    call.outcome = *result;
+    call.outcome = *outcome;
     call.reason = *reason;
     call.response = line.value("response", "");
     call.candidates = line.value("candidates", std::vector<std::string>{});
     return call;
 }
 
-execution_record to_execution(const json& line)
+execution_record parse_execution(const json& line)
 {
     execution_record execution;
     execution.key = line.value("key", "");
@@ -40,24 +40,25 @@
     return execution;
 }
 
-void add(const json& line, records& into)
+void add_record(const json& line, records& recorded)
 {
     const auto type = line.at("type").get<std::string>();
     if (type == "call") {
-        into.calls.push_back(to_call(line));
+        recorded.calls.push_back(parse_call(line));
     }
     else if (type == "execution") {
-        into.executions.push_back(to_execution(line));
+        recorded.executions.push_back(parse_execution(line));
     }
     else if (type == "death" || type == "fault") {
         using kind = disturbance_record::kind;
-        into.disturbances.push_back({type == "death" ? kind::death : kind::fault,
-                                     line.at("process").get<std::string>(),
-                                     line.at("time").get<double>()});
+        recorded.disturbances.push_back({type == "death" ? kind::death : kind::fault,
+                                         line.at("process").get<std::string>(),
+                                         line.at("time").get<double>()});
     }
     else if (type == "version") {
-        into.versions.push_back({line.at("node").get<std::string>(), line.at("time").get<double>(),
-                                 line.at("version").get<std::uint64_t>()});
+        recorded.versions.push_back({line.at("node").get<std::string>(),
+                                     line.at("time").get<double>(),
+                                     line.at("version").get<std::uint64_t>()});
     }
     else {
         throw std::invalid_argument{"unknown type " + type};
@@ -66,7 +67,7 @@
 
 } // namespace
 
-absl::Status read(std::istream& lines, records& into)
+absl::Status read(std::istream& lines, records& recorded)
 {
     std::string line;
     for (std::size_t number = 1; std::getline(lines, line); ++number) {
@@ -74,7 +75,7 @@
             continue;
         }
         try {
-            add(json::parse(line), into);
+            add_record(json::parse(line), recorded);
         }
         catch (const std::exception& error) {
             return absl::InvalidArgumentError("line " + std::to_string(number) + ": " +
--- a/tests/history/history.h
+++ b/tests/history/history.h
@@ -12,13 +12,14 @@
 
 namespace chestnutstand::history {
 
-/// A call as its caller saw it. Times are milliseconds on one clock of the machine.
+/// A call as observed by its caller. Times are milliseconds on a clock that all processes of the
+/// machine share.
 struct call_record {
     std::string id;
     /// Empty for a call without a key.
     std::string key;
-    /// Unique per request; repeated calls with the same key and request share it. Empty for a query
-    /// of a key.
+    /// Unique per request; repeated calls with the same key and request have the same payload.
+    /// Empty for a query of a key.
     std::string payload;
     double start = 0;
     double end = 0;
@@ -26,28 +27,28 @@
     reason_code reason = reason_code::none;
     /// Body of the response of a completed call.
     std::string response;
-    /// Processes that may have run the call, if the caller knows them.
+    /// Processes that may have run the call; empty if the caller does not know them.
     std::vector<std::string> candidates;
 };
 
-/// A request as a stub upstream ran it.
+/// An execution of a request as recorded by a stub upstream.
 struct execution_record {
     std::string key;
     std::string payload;
     double start = 0;
-    /// Missing when the upstream stopped before the end.
+    /// Absent if the upstream stopped before the execution ended.
     std::optional<double> end;
     std::string response;
 };
 
-/// Something that was done to a process.
+/// The death of a process, or a fault injected into it.
 struct disturbance_record {
     enum class kind : std::uint8_t {
         death, ///< The process ended without draining.
         fault, ///< The process was paused, or connections to it were broken.
     };
 
-    kind what = kind::death;
+    kind type = kind::death;
     std::string process;
     double time = 0;
 };
@@ -66,9 +67,9 @@
     std::vector<version_record> versions;
 };
 
-/// Adds the records of JSON lines, or returns an error that names the line. Each line is an object
-/// with "type" call, execution, death, fault or version and the fields of that record; the reason
-/// of a call is "reason".
-absl::Status read(std::istream& lines, records& into);
+/// Parses JSON lines and appends their records, or returns an error that names the line. Each line
+/// is an object with "type" call, execution, death, fault or version and the fields of that record;
+/// the reason of a call is "reason".
+absl::Status read(std::istream& lines, records& recorded);
 
 } // namespace chestnutstand::history
--- a/tests/history/history_check.cpp
+++ b/tests/history/history_check.cpp
@@ -18,25 +18,26 @@
         std::cerr << "usage: history_check FILE...\n";
         return exit_usage;
     }
-    history::records seen;
+    history::records recorded;
     for (int i = 1; i < argc; ++i) {
         std::ifstream file{argv[i]};
         const auto status =
-            file ? history::read(file, seen) : absl::NotFoundError("cannot be opened");
+            file ? history::read(file, recorded) : absl::NotFoundError("cannot be opened");
         if (!status.ok()) {
             std::cerr << argv[i] << ": " << status.message() << "\n";
             return exit_invalid;
         }
     }
-    const auto result = history::check(seen);
-    std::cout << "calls " << seen.calls.size() << " executions " << seen.executions.size()
+    const auto result = history::check(recorded);
+    std::cout << "calls " << recorded.calls.size() << " executions " << recorded.executions.size()
               << " completed " << result.completed << " not-run " << result.not_run << " unknown "
               << result.unknown << "\n";
     for (const auto& [reason, count] : result.unknown_by_reason) {
         std::cout << "unknown " << to_string(reason) << " " << count << "\n";
     }
-    for (const auto& each : result.violations) {
-        std::cout << "violated " << history::to_string(each.broken) << ": " << each.detail << "\n";
+    for (const auto& violation : result.violations) {
+        std::cout << "violated " << history::to_string(violation.broken) << ": " << violation.detail
+                  << "\n";
     }
     return result.holds() ? 0 : exit_violated;
 }
--- a/tests/history/history_checker.h
+++ b/tests/history/history_checker.h
@@ -12,14 +12,14 @@
 enum class rule : std::uint8_t {
     at_most_once,      ///< A key ran more than once.
     not_run,           ///< A call reported as not-run was executed, before or after.
-    own_response,      ///< A completed call has not the complete response of its execution.
+    own_response,      ///< The response of a completed call differs from that of its execution.
     unexplained_loss,  ///< A final unknown outcome without a disturbance that explains it.
     version_decreased, ///< A node went back to a lower configuration version.
 };
 
 struct violation {
     rule broken = rule::at_most_once;
-    /// Names the call, key or node and what was seen.
+    /// Names the call, key or node and describes what was observed.
     std::string detail;
 };
 
@@ -34,9 +34,10 @@
 };
 
 /// Checks a recorded history. An unknown outcome that is not final (the key was still running or a
-/// process could not be reached) is only counted. One that is final needs the death of a candidate
-/// (executor_gone), or the death or a fault of any process (the upstream's result was lost).
-report check(const records& seen);
+/// process could not be reached) is only counted. A final one must be explained by an earlier
+/// disturbance: the death of a candidate for executor_gone, otherwise the death or a fault of any
+/// process, which can lose the upstream's result.
+report check(const records& recorded);
 
 std::string_view to_string(rule value);
 
--- a/tests/history/history_checker_test.cpp
+++ b/tests/history/history_checker_test.cpp
@@ -23,19 +23,19 @@
 
 records parse(const std::string& text)
 {
-    records seen;
+    records recorded;
     std::istringstream lines{text};
-    const auto status = read(lines, seen);
+    const auto status = read(lines, recorded);
     EXPECT_TRUE(status.ok()) << status;
-    return seen;
+    return recorded;
 }
 
-/// Rules that a correct history with further lines breaks.
-std::vector<rule> broken_by(const std::string& lines)
+/// Returns the rules that are violated when the lines are appended to the correct history.
+std::vector<rule> rules_broken_by(const std::string& lines)
 {
     std::vector<rule> broken;
-    for (const auto& each : check(parse(correct_history + lines)).violations) {
-        broken.push_back(each.broken);
+    for (const auto& violation : check(parse(correct_history + lines)).violations) {
+        broken.push_back(violation.broken);
     }
     return broken;
 }
@@ -46,7 +46,7 @@
            R"(","start":8,"end":9,)" + rest + "}\n";
 }
 
-// Guards against a checker that rejects what is allowed, and against miscounted outcomes.
+// Guards against a checker that rejects a valid history, and against miscounted outcomes.
 TEST(history_checker, accepts_a_correct_history)
 {
     const auto result = check(parse(correct_history));
@@ -60,70 +60,82 @@
 // Guards against a checker that overlooks a second run of a key.
 TEST(history_checker, finds_a_key_that_ran_twice)
 {
-    EXPECT_EQ(broken_by(R"({"type":"execution","key":"k1","payload":"p1","start":8,"end":9})"),
-              std::vector<rule>{rule::at_most_once});
+    EXPECT_EQ(
+        rules_broken_by(R"({"type":"execution","key":"k1","payload":"p1","start":8,"end":9})"),
+        std::vector<rule>{rule::at_most_once});
 }
 
-// Guards against a checker that looks only at runs before the reply, or not at queries.
+// Guards against a checker that ignores executions after the reply, or ignores queries.
 TEST(history_checker, finds_a_run_after_not_run)
 {
-    EXPECT_EQ(broken_by(R"({"type":"execution","key":"k2","payload":"p2","start":99})"),
+    EXPECT_EQ(rules_broken_by(R"({"type":"execution","key":"k2","payload":"p2","start":99})"),
               std::vector<rule>{rule::not_run});
-    EXPECT_EQ(broken_by(call_line("k1", "", R"("outcome":"not-run")")),
+    EXPECT_EQ(rules_broken_by(call_line("k1", "", R"("outcome":"not-run")")),
               std::vector<rule>{rule::not_run});
 }
 
-// Guards against a checker that accepts a foreign, cut or premature response.
+// Guards against a checker that accepts a truncated response, the response of an execution that did
+// not end, that of another call, or one that came before its execution.
 TEST(history_checker, finds_wrong_responses)
 {
     const std::vector<rule> broken{rule::own_response};
-    EXPECT_EQ(broken_by(call_line("k1", "p1", R"("outcome":"completed","response":"r")")), broken);
-    EXPECT_EQ(broken_by(call_line("k3", "p3", R"("outcome":"completed","response":"")")), broken);
-    EXPECT_EQ(broken_by(call_line("k4", "p4", R"("outcome":"completed","response":"r1")")), broken);
-    EXPECT_EQ(broken_by(call_line("k5", "p5", R"("outcome":"completed","response":"r5")") +
+    EXPECT_EQ(rules_broken_by(call_line("k1", "p1", R"("outcome":"completed","response":"r")")),
+              broken);
+    EXPECT_EQ(rules_broken_by(call_line("k3", "p3", R"("outcome":"completed","response":"")")),
+              broken);
+    EXPECT_EQ(rules_broken_by(call_line("k4", "p4", R"("outcome":"completed","response":"r1")")),
+              broken);
+    EXPECT_EQ(
+        rules_broken_by(call_line("k5", "p5", R"("outcome":"completed","response":"r5")") +
                         R"({"type":"execution","key":"k5","payload":"p5","start":10,"end":11,)"
                         R"("response":"r5"})"),
-              broken);
+        broken);
 }
 
-// Guards against a checker that lets a lost call pass without a cause.
+// Guards against a checker that accepts a final unknown outcome without a preceding fault.
 TEST(history_checker, finds_unexplained_unknown_outcomes)
 {
     const std::vector<rule> broken{rule::unexplained_loss};
-    const std::string gone = R"("outcome":"unknown","reason":"executor_gone",)";
-    EXPECT_EQ(broken_by(call_line("k6", "p6", gone + R"("candidates":["n2"])")), broken);
-    EXPECT_EQ(broken_by(R"({"type":"fault","process":"n2","time":1})"
+    const std::string executor_gone_fields = R"("outcome":"unknown","reason":"executor_gone",)";
+    EXPECT_EQ(
+        rules_broken_by(call_line("k6", "p6", executor_gone_fields + R"("candidates":["n2"])")),
+        broken);
+    EXPECT_EQ(
+        rules_broken_by(R"({"type":"fault","process":"n2","time":1})"
                         "\n" +
-                        call_line("k6", "p6", gone + R"("candidates":["n2"])")),
-              broken);
-    EXPECT_EQ(broken_by(R"({"type":"death","process":"n2","time":99})"
+                        call_line("k6", "p6", executor_gone_fields + R"("candidates":["n2"])")),
+        broken);
+    EXPECT_EQ(
+        rules_broken_by(R"({"type":"death","process":"n2","time":99})"
                         "\n" +
-                        call_line("k6", "p6", gone + R"("candidates":["n2"])")),
-              broken);
-    auto quiet = parse(call_line("k6", "p6", R"("outcome":"unknown","reason":"upstream_timeout")"));
-    EXPECT_FALSE(check(quiet).holds());
-    quiet.disturbances.push_back({disturbance_record::kind::fault, "u1", 1});
-    EXPECT_TRUE(check(quiet).holds());
+                        call_line("k6", "p6", executor_gone_fields + R"("candidates":["n2"])")),
+        broken);
+    auto undisturbed =
+        parse(call_line("k6", "p6", R"("outcome":"unknown","reason":"upstream_timeout")"));
+    EXPECT_FALSE(check(undisturbed).holds());
+    undisturbed.disturbances.push_back({disturbance_record::kind::fault, "u1", 1});
+    EXPECT_TRUE(check(undisturbed).holds());
 }
 
-// Guards against a checker that compares versions of different nodes or in the order of lines.
+// Guards against a checker that compares versions of different nodes, or compares them in the order
+// of the lines instead of that of their times.
 TEST(history_checker, finds_decreasing_versions)
 {
-    EXPECT_EQ(broken_by(R"({"type":"version","node":"n1","time":4,"version":2})"),
+    EXPECT_EQ(rules_broken_by(R"({"type":"version","node":"n1","time":4,"version":2})"),
               std::vector<rule>{rule::version_decreased});
-    EXPECT_EQ(broken_by(R"({"type":"version","node":"n1","time":0,"version":2})"),
+    EXPECT_EQ(rules_broken_by(R"({"type":"version","node":"n1","time":0,"version":2})"),
               std::vector<rule>{});
 }
 
-// Guards against lines that are skipped silently.
-TEST(history_checker, refuses_lines_that_it_cannot_read)
+// Guards against a reader that silently skips malformed lines.
+TEST(history_checker, rejects_lines_that_it_cannot_read)
 {
     for (const char* text : {"{", R"({"type":"call"})", R"({"type":"other"})",
                              R"({"type":"call","id":"1","payload":"","start":1,"end":2,)"
                              R"("outcome":"maybe"})"}) {
-        records seen;
+        records recorded;
         std::istringstream lines{text};
-        EXPECT_FALSE(read(lines, seen).ok()) << text;
+        EXPECT_FALSE(read(lines, recorded).ok()) << text;
     }
 }
 
