--- a/tests/fault_proxy/relay.cpp
+++ b/tests/fault_proxy/relay.cpp
@@ -17,9 +17,9 @@
 namespace {
 
 constexpr int backlog = 128;
-constexpr std::size_t piece_bytes = 65'536;
-/// A response that finds no other to be swapped with goes to its own connection after this time.
-constexpr auto cross_limit = std::chrono::seconds{5};
+constexpr std::size_t buffer_bytes = 65'536;
+/// A response that no other one arrives to be swapped with in this time is sent to its own client.
+constexpr auto swap_timeout = std::chrono::seconds{5};
 
 sockaddr_in loopback(std::uint16_t port)
 {
@@ -30,7 +30,7 @@
     return address;
 }
 
-void no_delay(int descriptor)
+void set_no_delay(int descriptor)
 {
     const int on = 1;
     ::setsockopt(descriptor, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -44,83 +44,87 @@
         ::close(descriptor);
         return -1;
     }
-    no_delay(descriptor);
+    set_no_delay(descriptor);
     return descriptor;
 }
 
 void reset_on_close(int descriptor)
 {
-    const linger at_once{1, 0};
-    ::setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+    const linger reset_at_close{1, 0};
+    ::setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &reset_at_close, sizeof reset_at_close);
 }
 
 bool send_all(int descriptor, const std::string& bytes)
 {
-    std::size_t done = 0;
-    while (done < bytes.size()) {
+    std::size_t sent_bytes = 0;
+    while (sent_bytes < bytes.size()) {
         const auto sent =
-            ::send(descriptor, bytes.data() + done, bytes.size() - done, MSG_NOSIGNAL);
+            ::send(descriptor, bytes.data() + sent_bytes, bytes.size() - sent_bytes, MSG_NOSIGNAL);
         if (sent <= 0) {
             return false;
         }
-        done += static_cast<std::size_t>(sent);
+        sent_bytes += static_cast<std::size_t>(sent);
     }
     return true;
 }
 
 } // namespace
 
-/// A relayed connection; its two sockets are closed when both pumps have ended.
-struct relay::link {
-    link(int client_socket, int target_socket) : client{client_socket}, target{target_socket} {}
-    link(const link&) = delete;
-    link& operator=(const link&) = delete;
-    ~link()
+/// The two sockets of a relayed connection. They are closed when the threads of both directions
+/// have ended.
+struct relay::relayed_connection {
+    relayed_connection(int client_socket, int target_socket)
+        : client{client_socket}, target{target_socket}
+    {
+    }
+    relayed_connection(const relayed_connection&) = delete;
+    relayed_connection& operator=(const relayed_connection&) = delete;
+    ~relayed_connection()
     {
         ::close(client);
         ::close(target);
     }
 
-    /// Wakes both pumps up, so that they end.
+    /// Shuts both sockets down, which unblocks the threads of both directions and ends them.
     void end() const
     {
         ::shutdown(client, SHUT_RDWR);
         ::shutdown(target, SHUT_RDWR);
     }
 
-    /// Ends both connections with a reset.
+    /// Ends the connections to client and target with a reset.
     void abort()
     {
-        aborted = true;
+        was_reset = true;
         reset_on_close(client);
         reset_on_close(target);
-        // Unlike shutdown in both directions, this lets the close send a reset instead of an end.
+        // Unlike SHUT_RDWR, which sends a FIN, this lets the later close send a reset.
         ::shutdown(client, SHUT_RD);
         ::shutdown(target, SHUT_RD);
     }
 
     int client;
     int target;
-    std::atomic<bool> aborted = false;
+    std::atomic<bool> was_reset = false;
     bool request_frozen = false;
     bool response_frozen = false;
 };
 
-struct relay::crossed_piece {
-    const link* from = nullptr;
+struct relay::swapped_response {
+    const relayed_connection* from = nullptr;
     std::string bytes;
-    std::optional<std::string> other;
+    std::optional<std::string> counterpart;
 };
 
-relay::relay(std::uint16_t target_port, const socket_address& listen_at)
+relay::relay(std::uint16_t target_port, const socket_address& listen_address)
     : target_port_{target_port}, listener_{::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)}
 {
-    sockaddr_in address = loopback(listen_at.port);
-    ::inet_pton(AF_INET, listen_at.address.c_str(), &address.sin_addr);
+    sockaddr_in address = loopback(listen_address.port);
+    ::inet_pton(AF_INET, listen_address.address.c_str(), &address.sin_addr);
     socklen_t size = sizeof address;
-    auto* generic = reinterpret_cast<sockaddr*>(&address);
-    if (::bind(listener_, generic, size) != 0 || ::listen(listener_, backlog) != 0 ||
-        ::getsockname(listener_, generic, &size) != 0) {
+    auto* generic_address = reinterpret_cast<sockaddr*>(&address);
+    if (::bind(listener_, generic_address, size) != 0 || ::listen(listener_, backlog) != 0 ||
+        ::getsockname(listener_, generic_address, &size) != 0) {
         std::abort();
     }
     port_ = ntohs(address.sin_port);
@@ -132,14 +136,14 @@
     while (true) {
         const int client = ::accept4(listener_, nullptr, nullptr, SOCK_CLOEXEC);
         if (client != -1) {
-            accept_one(client);
+            start_relaying(client);
         }
     }
 }
 
-void relay::accept_one(int client)
+void relay::start_relaying(int client)
 {
-    no_delay(client);
+    set_no_delay(client);
     const int target = faults().mode == fault_mode::cut ? -1 : connect_to(target_port_);
     if (target == -1) {
         count_fault();
@@ -147,129 +151,131 @@
         ::close(client);
         return;
     }
-    const auto added = std::make_shared<link>(client, target);
+    const auto connection = std::make_shared<relayed_connection>(client, target);
     {
         const std::lock_guard lock{mutex_};
         ++counts_.connections;
-        std::erase_if(links_, [](const auto& each) { return each.expired(); });
-        links_.push_back(added);
+        std::erase_if(connections_, [](const auto& entry) { return entry.expired(); });
+        connections_.push_back(connection);
     }
     for (const bool response : {false, true}) {
-        std::thread{[this, added, response] { pump(added, response); }}.detach();
+        std::thread{[this, connection, response] { pump(connection, response); }}.detach();
     }
 }
 
-void relay::pump(const std::shared_ptr<link>& which, bool response)
+void relay::pump(const std::shared_ptr<relayed_connection>& connection, bool response)
 {
-    const int from = response ? which->target : which->client;
-    std::array<char, piece_bytes> buffer{};
+    const int from = response ? connection->target : connection->client;
+    std::array<char, buffer_bytes> buffer{};
     while (true) {
         const auto size = ::recv(from, buffer.data(), buffer.size(), 0);
-        // What arrives after the shutdown can still be read.
-        if (size <= 0 || which->aborted) {
+        // Data that arrives after the shutdown can still be read; it must not be forwarded.
+        if (size <= 0 || connection->was_reset) {
             break;
         }
-        if (!pass_on(*which, response, {buffer.data(), static_cast<std::size_t>(size)})) {
+        if (!forward(*connection, response, {buffer.data(), static_cast<std::size_t>(size)})) {
             break;
         }
     }
-    if (!frozen(*which, response) && !which->aborted) {
-        which->end();
+    if (!is_frozen(*connection, response) && !connection->was_reset) {
+        connection->end();
     }
 }
 
-/// Whether the connection goes on.
-bool relay::pass_on(link& which, bool response, std::string piece)
+/// Returns whether the connection stays open.
+bool relay::forward(relayed_connection& connection, bool response, std::string chunk)
 {
     {
         const std::lock_guard lock{mutex_};
-        (response ? counts_.response_bytes : counts_.request_bytes) += piece.size();
+        (response ? counts_.response_bytes : counts_.request_bytes) += chunk.size();
     }
-    if (frozen(which, response)) {
+    if (is_frozen(connection, response)) {
         count_fault();
         return true;
     }
-    const fault_settings now = faults();
-    const auto own = response ? fault_direction::response : fault_direction::request;
-    const bool concerned = now.direction == fault_direction::both || now.direction == own;
-    if (now.mode == fault_mode::delay && concerned) {
+    const fault_settings current = faults();
+    const auto direction = response ? fault_direction::response : fault_direction::request;
+    const bool applies =
+        current.direction == fault_direction::both || current.direction == direction;
+    if (current.mode == fault_mode::delay && applies) {
         count_fault();
-        std::this_thread::sleep_for(now.delay);
+        std::this_thread::sleep_for(current.delay);
     }
     if (response) {
-        return pass_response(which, now, std::move(piece));
+        return forward_response(connection, current, std::move(chunk));
     }
-    return send_all(which.target, piece);
+    return send_all(connection.target, chunk);
 }
 
-bool relay::pass_response(link& which, const fault_settings& now, std::string piece)
+bool relay::forward_response(relayed_connection& connection, const fault_settings& current,
+                             std::string chunk)
 {
-    switch (now.mode) {
+    switch (current.mode) {
     case fault_mode::drop_response:
         count_fault();
         return false;
     case fault_mode::truncate:
         count_fault();
-        send_all(which.client, piece.substr(0, now.bytes));
+        send_all(connection.client, chunk.substr(0, current.bytes));
         return false;
     case fault_mode::cross:
         count_fault();
-        return send_all(which.client, swap_with_next(which, std::move(piece)));
+        return send_all(connection.client, swap_with_next(connection, std::move(chunk)));
     default:
-        return send_all(which.client, piece);
+        return send_all(connection.client, chunk);
     }
 }
 
-std::string relay::swap_with_next(link& which, std::string piece)
+std::string relay::swap_with_next(relayed_connection& connection, std::string chunk)
 {
     std::unique_lock lock{mutex_};
-    if (waiting_ && waiting_->from != &which) {
-        const auto other = std::exchange(waiting_, nullptr);
-        other->other = std::move(piece);
-        crossed_.notify_all();
-        return other->bytes;
+    if (waiting_response_ && waiting_response_->from != &connection) {
+        const auto waiting_response = std::exchange(waiting_response_, nullptr);
+        waiting_response->counterpart = std::move(chunk);
+        swap_done_.notify_all();
+        return waiting_response->bytes;
     }
-    const auto own = std::make_shared<crossed_piece>();
-    own->from = &which;
-    own->bytes = std::move(piece);
-    waiting_ = own;
-    crossed_.wait_for(lock, cross_limit, [&] { return own->other.has_value(); });
-    if (waiting_ == own) {
-        waiting_.reset();
+    const auto own_response = std::make_shared<swapped_response>();
+    own_response->from = &connection;
+    own_response->bytes = std::move(chunk);
+    waiting_response_ = own_response;
+    swap_done_.wait_for(lock, swap_timeout, [&] { return own_response->counterpart.has_value(); });
+    if (waiting_response_ == own_response) {
+        waiting_response_.reset();
     }
-    return own->other ? *own->other : own->bytes;
+    return own_response->counterpart ? *own_response->counterpart : own_response->bytes;
 }
 
 void relay::set_faults(const fault_settings& faults)
 {
-    std::vector<std::shared_ptr<link>> open;
+    std::vector<std::shared_ptr<relayed_connection>> open_connections;
     {
         const std::lock_guard lock{mutex_};
         faults_ = faults;
-        for (const auto& each : links_) {
-            if (auto alive = each.lock()) {
-                open.push_back(std::move(alive));
+        for (const auto& entry : connections_) {
+            if (auto connection = entry.lock()) {
+                open_connections.push_back(std::move(connection));
             }
         }
-        for (const auto& each : open) {
+        for (const auto& connection : open_connections) {
             if (faults.mode == fault_mode::freeze) {
-                each->request_frozen |= faults.direction != fault_direction::response;
-                each->response_frozen |= faults.direction != fault_direction::request;
+                connection->request_frozen |= faults.direction != fault_direction::response;
+                connection->response_frozen |= faults.direction != fault_direction::request;
             }
         }
     }
     if (faults.mode == fault_mode::cut) {
-        for (const auto& each : open) {
+        for (const auto& connection : open_connections) {
             count_fault();
-            each->abort();
+            connection->abort();
         }
     }
 }
 
-bool relay::frozen(const link& which, bool response) const
+bool relay::is_frozen(const relayed_connection& connection, bool response) const
 {
     const std::lock_guard lock{mutex_};
-    return response ? which.response_frozen : which.request_frozen;
+    return response ? connection.response_frozen : connection.request_frozen;
 }
 
 fault_settings relay::faults() const
--- a/tests/integration/fault_proxy_test.cpp
+++ b/tests/integration/fault_proxy_test.cpp
@@ -12,7 +12,7 @@
 namespace chestnutstand::testing {
 namespace {
 
-/// The proxy in front of a server that answers with the target of the request.
+/// The proxy in front of a server that responds with the target of the request.
 class fault_proxy_test : public ::testing::Test {
 protected:
     void SetUp() override
@@ -26,47 +26,49 @@
         return exchange(*client_, proxy_->port(), {"GET", target, {}, ""}, timeout);
     }
 
-    http_server server_{{}, [](const http_request& request, const std::shared_ptr<responder>& to) {
-                            to->send({200, {}, request.target});
-                        }};
+    http_server server_{
+        {}, [](const http_request& request, const std::shared_ptr<responder>& response) {
+            response->send({200, {}, request.target});
+        }};
     std::unique_ptr<http_client> client_ = make_http_client();
     std::unique_ptr<proxy> proxy_;
 };
 
-// Guards against a fault test that passes because its fault is never injected.
+// Guards against fault tests that pass because their fault is never injected.
 TEST_F(fault_proxy_test, injects_each_fault)
 {
     EXPECT_EQ(get("/1").response.body, "/1");
-    ASSERT_TRUE(proxy_->set({{"mode", "truncate"}, {"bytes", 90}}));
+    ASSERT_TRUE(proxy_->set_faults({{"mode", "truncate"}, {"bytes", 90}}));
     EXPECT_EQ(get("/" + std::string(100, 'x')).error, http_error::truncated);
-    ASSERT_TRUE(proxy_->set({{"mode", "drop_response"}}));
+    ASSERT_TRUE(proxy_->set_faults({{"mode", "drop_response"}}));
     EXPECT_EQ(get("/3").error, http_error::connection_lost);
-    ASSERT_TRUE(proxy_->set({{"mode", "pass"}}));
+    ASSERT_TRUE(proxy_->set_faults({{"mode", "pass"}}));
     EXPECT_EQ(get("/4").response.body, "/4");
-    ASSERT_TRUE(proxy_->set({{"mode", "cut"}}));
+    ASSERT_TRUE(proxy_->set_faults({{"mode", "cut"}}));
     EXPECT_EQ(get("/5").error, http_error::connection_lost);
-    ASSERT_TRUE(proxy_->set({{"mode", "delay"}, {"delay_ms", 100}, {"direction", "response"}}));
+    ASSERT_TRUE(
+        proxy_->set_faults({{"mode", "delay"}, {"delay_ms", 100}, {"direction", "response"}}));
     EXPECT_GE(get("/6").elapsed.count(), 100.0);
-    EXPECT_FALSE(proxy_->set({{"mode", "nonsense"}}));
+    EXPECT_FALSE(proxy_->set_faults({{"mode", "nonsense"}}));
     EXPECT_GT(proxy_->counters()["faults"], 3);
 }
 
-// Guards against a freeze that also stops new connections.
+// Guards against a freeze fault that does not stop open connections, or also stops new ones.
 TEST_F(fault_proxy_test, freezes_open_connections_only)
 {
     for (const char* direction : {"both", "request", "response"}) {
         EXPECT_EQ(get("/1").response.body, "/1");
-        ASSERT_TRUE(proxy_->set({{"mode", "freeze"}, {"direction", direction}}));
+        ASSERT_TRUE(proxy_->set_faults({{"mode", "freeze"}, {"direction", direction}}));
         EXPECT_EQ(get("/2", milliseconds{100}).error, http_error::timed_out) << direction;
         EXPECT_EQ(get("/3").response.body, "/3");
-        ASSERT_TRUE(proxy_->set({{"mode", "pass"}}));
+        ASSERT_TRUE(proxy_->set_faults({{"mode", "pass"}}));
     }
 }
 
-// Guards against a cross-over that leaves the responses where they belong.
+// Guards against a cross fault that does not swap the responses.
 TEST_F(fault_proxy_test, swaps_two_responses)
 {
-    ASSERT_TRUE(proxy_->set({{"mode", "cross"}}));
+    ASSERT_TRUE(proxy_->set_faults({{"mode", "cross"}}));
     auto other = std::async(std::launch::async, [&] { return get("/a").response.body; });
     EXPECT_EQ(get("/b").response.body, "/a");
     EXPECT_EQ(other.get(), "/b");
--- a/tests/integration/link_faults_test.cpp
+++ b/tests/integration/link_faults_test.cpp
@@ -23,16 +23,16 @@
 constexpr milliseconds call_timeout{1'000};
 constexpr milliseconds register_interval{500};
 
-/// Renews the registration of an upstream under the address of a proxy in front of it.
+/// Periodically registers an upstream under the address of a proxy in front of it.
 class registrar {
 public:
-    registrar(fleet& all, std::uint16_t admin_port, std::uint16_t upstream_port)
-        : thread_{[this, &all, admin_port, upstream_port] {
+    registrar(fleet& test_fleet, std::uint16_t admin_port, std::uint16_t upstream_port)
+        : thread_{[this, &test_fleet, admin_port, upstream_port] {
               while (!stopping_) {
-                  all.control(admin_port, "/register",
-                              {{"service", "alpha"},
-                               {"address", "127.0.0.1:" + std::to_string(upstream_port)},
-                               {"slots", 100}});
+                  test_fleet.control(admin_port, "/register",
+                                     {{"service", "alpha"},
+                                      {"address", "127.0.0.1:" + std::to_string(upstream_port)},
+                                      {"slots", 100}});
                   std::this_thread::sleep_for(register_interval);
               }
           }}
@@ -51,7 +51,7 @@
     std::thread thread_;
 };
 
-/// What the calls under one fault ended with.
+/// Number of calls under one fault by outcome.
 struct call_counts {
     int completed = 0;
     int not_run = 0;
@@ -63,55 +63,57 @@
 protected:
     void SetUp() override
     {
-        history_ = (all_.directory() / "history").string();
-        node_ = &all_.add("east", "");
+        history_ = (fleet_.directory() / "history").string();
+        node_ = &fleet_.add("east", "");
         upstream_ = std::make_unique<process>(
             STUB_UPSTREAM_PROGRAM, std::vector<std::string>{"--service", "alpha", "--slots", "100",
                                                             "--history", history_});
-        const auto started =
+        const auto started_line =
             upstream_->wait_for_line([](const auto& fields) { return fields.contains("port"); });
-        ASSERT_TRUE(started);
-        upstream_port_ = (*started)["port"].get<std::uint16_t>();
+        ASSERT_TRUE(started_line);
+        upstream_port_ = (*started_line)["port"].get<std::uint16_t>();
         upstream_link_ = std::make_unique<proxy>(upstream_port_);
         caller_link_ = std::make_unique<proxy>(node_->caller_port);
-        registrar_ = std::make_unique<registrar>(all_, node_->admin_port, upstream_link_->port());
-        const auto verdict = all_.publish(*node_, "platform", "main", 0,
-                                          section_content("platform", {"alpha"}), "change-1");
-        ASSERT_TRUE(verdict.is_object() && verdict.value("accepted", false)) << verdict;
-        ASSERT_TRUE(works_again());
+        registrar_ = std::make_unique<registrar>(fleet_, node_->admin_port, upstream_link_->port());
+        const auto publish_result = fleet_.publish(
+            *node_, "platform", "main", 0, section_content("platform", {"alpha"}), "change-1");
+        ASSERT_TRUE(publish_result.is_object() && publish_result.value("accepted", false))
+            << publish_result;
+        ASSERT_TRUE(serves_calls());
     }
 
     void TearDown() override { registrar_.reset(); }
 
-    std::future<http_result> call(const std::string& payload)
+    std::future<http_result> send_call(const std::string& payload)
     {
-        auto ended = std::make_shared<std::promise<http_result>>();
+        auto promise = std::make_shared<std::promise<http_result>>();
         http_request request{"POST", "/call/alpha/of/" + payload, {}, payload};
         request.headers.push_back(
             {std::string{header::timeout_ms}, std::to_string(std::lround(call_timeout.count()))});
-        all_.client().send("http://127.0.0.1:" + std::to_string(caller_link_->port()),
-                           std::move(request), call_timeout * 5,
-                           [ended](http_result result) { ended->set_value(std::move(result)); });
-        return ended->get_future();
+        fleet_.client().send("http://127.0.0.1:" + std::to_string(caller_link_->port()),
+                             std::move(request), call_timeout * 5, [promise](http_result result) {
+                                 promise->set_value(std::move(result));
+                             });
+        return promise->get_future();
     }
 
-    /// Checks one answer and counts its outcome.
-    void judge(const std::string& payload, const http_result& result, call_counts& counts)
+    /// Checks one response and counts its outcome.
+    void check_response(const std::string& payload, const http_result& result, call_counts& counts)
     {
-        const auto stated = find_header(result.response.headers, header::outcome);
+        const auto outcome = find_header(result.response.headers, header::outcome);
         if (result.error != http_error::none) {
             ++counts.unknown;
             return;
         }
-        ASSERT_TRUE(stated) << result.response.status << result.response.body;
-        if (*stated == "completed") {
+        ASSERT_TRUE(outcome) << result.response.status << result.response.body;
+        if (*outcome == "completed") {
             ++counts.completed;
             const auto body = nlohmann::json::parse(result.response.body, nullptr, false);
-            ASSERT_TRUE(body.is_object()) << "not the whole answer: " << result.response.body;
-            EXPECT_EQ(body["echo"], payload) << "the answer to another call";
+            ASSERT_TRUE(body.is_object()) << "incomplete response: " << result.response.body;
+            EXPECT_EQ(body["echo"], payload) << "the response to another call";
             EXPECT_EQ(body["target"], "/of/" + payload);
         }
-        else if (*stated == "not-run") {
+        else if (*outcome == "not-run") {
             ++counts.not_run;
             not_run_.insert(payload);
         }
@@ -122,28 +124,28 @@
 
     call_counts run_calls()
     {
-        std::vector<std::pair<std::string, std::future<http_result>>> running;
+        std::vector<std::pair<std::string, std::future<http_result>>> pending;
         for (int i = 0; i < calls_per_fault; ++i) {
             auto payload = "payload-" + std::to_string(next_payload_++);
-            auto result = call(payload);
-            running.emplace_back(std::move(payload), std::move(result));
+            auto result = send_call(payload);
+            pending.emplace_back(std::move(payload), std::move(result));
         }
         call_counts counts;
-        for (auto& [payload, result] : running) {
-            judge(payload, result.get(), counts);
+        for (auto& [payload, result] : pending) {
+            check_response(payload, result.get(), counts);
         }
         return counts;
     }
 
-    bool works_again()
+    bool serves_calls()
     {
         return eventually([&] {
-            const auto result = call("check").get();
+            const auto result = send_call("check").get();
             return result.error == http_error::none && result.response.status == 200;
         });
     }
 
-    /// Payloads that the upstream executed.
+    /// Returns the payloads of the requests that the upstream executed.
     std::set<std::string> executed() const
     {
         std::set<std::string> payloads;
@@ -158,20 +160,21 @@
     {
         for (const auto& fault : faults) {
             SCOPED_TRACE(fault.dump());
-            ASSERT_TRUE(link.set(fault));
+            ASSERT_TRUE(link.set_faults(fault));
             const auto counts = run_calls();
-            ASSERT_TRUE(link.set({{"mode", "pass"}}));
-            EXPECT_TRUE(works_again());
+            ASSERT_TRUE(link.set_faults({{"mode", "pass"}}));
+            EXPECT_TRUE(serves_calls());
             std::printf("%-55s completed %d, not-run %d, unknown %d\n", fault.dump().c_str(),
                         counts.completed, counts.not_run, counts.unknown);
         }
-        const auto ran = executed();
+        const auto executed_payloads = executed();
         for (const auto& payload : not_run_) {
-            EXPECT_EQ(ran.count(payload), 0U) << payload << " was said not to have run";
+            EXPECT_EQ(executed_payloads.count(payload), 0U)
+                << payload << " was reported as not-run, but it ran";
         }
     }
 
-    fleet all_;
+    fleet fleet_;
     std::string history_;
     fleet_member* node_ = nullptr;
     std::unique_ptr<process> upstream_;
@@ -197,8 +200,8 @@
             {{"mode", "truncate"}, {"bytes", 250}}};
 }
 
-// Guards against answers that are cut, belong to another call or claim not-run for a call that ran,
-// when the connections between node and upstream are faulty.
+// Guards against responses that are truncated, belong to another call, or report not-run for a call
+// that ran, when the connections between node and upstream are faulty.
 TEST_F(link_faults_test, between_node_and_upstream)
 {
     auto faults = all_faults();
@@ -206,30 +209,31 @@
     check_faults(*upstream_link_, faults);
 }
 
-// The same for the connections between caller and node. Swapped answers are left out: a caller that
-// is given another caller's bytes cannot be told so by the node.
+// Guards against the same for the connections between caller and node. Swapped responses are left
+// out: the node cannot detect that a caller receives the bytes of another caller's response.
 TEST_F(link_faults_test, between_caller_and_node)
 {
     check_faults(*caller_link_, all_faults());
 }
 
 struct malformed_input {
-    const char* what;
+    const char* description;
     std::vector<http_header> headers;
     std::string target;
     int status;
 };
 
-// Guards against invalid calls that reach an upstream or get an unclear refusal.
+// Guards against invalid calls that reach an upstream, or are refused without the right status,
+// outcome and reason.
 TEST_F(link_faults_test, invalid_calls_reach_no_upstream)
 {
-    const auto attempts = [&] {
+    const auto attempt_count = [&] {
         return nlohmann::json::parse(
-                   exchange(all_.client(), upstream_port_, {"GET", "/counters", {}, ""})
+                   exchange(fleet_.client(), upstream_port_, {"GET", "/counters", {}, ""})
                        .response.body)["attempts"]
             .get<int>();
     };
-    const int before = attempts();
+    const int before = attempt_count();
     const std::vector<malformed_input> inputs{
         {"unknown service", {}, "/call/nobody/x", 404},
         {"no service", {}, "/call/", 400},
@@ -244,18 +248,19 @@
         {"no key", {{"Chestnut-Priority", "write"}}, "/call/alpha/x", 428},
         {"large header", {{"X", std::string(17'000, 'x')}}, "/call/alpha/x", 431},
     };
-    for (const auto& each : inputs) {
-        const auto result =
-            exchange(all_.client(), node_->caller_port, {"POST", each.target, each.headers, "x"});
-        EXPECT_EQ(result.response.status, each.status) << each.what << result.response.body;
+    for (const auto& input : inputs) {
+        const auto result = exchange(fleet_.client(), node_->caller_port,
+                                     {"POST", input.target, input.headers, "x"});
+        EXPECT_EQ(result.response.status, input.status)
+            << input.description << result.response.body;
         EXPECT_EQ(find_header(result.response.headers, "content-type"), "application/problem+json");
-        EXPECT_TRUE(find_header(result.response.headers, header::outcome)) << each.what;
-        EXPECT_TRUE(find_header(result.response.headers, header::reason)) << each.what;
+        EXPECT_TRUE(find_header(result.response.headers, header::outcome)) << input.description;
+        EXPECT_TRUE(find_header(result.response.headers, header::reason)) << input.description;
     }
-    const auto large = exchange(all_.client(), node_->caller_port,
+    const auto large = exchange(fleet_.client(), node_->caller_port,
                                 {"POST", "/call/alpha/x", {}, std::string(1'048'577, 'x')});
     EXPECT_EQ(large.response.status, 413);
-    EXPECT_EQ(attempts(), before);
+    EXPECT_EQ(attempt_count(), before);
 }
 
 } // namespace
--- a/tests/support/proxy.cpp
+++ b/tests/support/proxy.cpp
@@ -23,14 +23,14 @@
 
 http_result proxy::control(const std::string& target, const std::string& body)
 {
-    auto ended = std::make_shared<std::promise<http_result>>();
+    auto promise = std::make_shared<std::promise<http_result>>();
     client_->send("http://127.0.0.1:" + std::to_string(control_port_),
                   {body.empty() ? "GET" : "POST", target, {}, body, false}, control_timeout,
-                  [ended](http_result result) { ended->set_value(std::move(result)); });
-    return ended->get_future().get();
+                  [promise](http_result result) { promise->set_value(std::move(result)); });
+    return promise->get_future().get();
 }
 
-bool proxy::set(const nlohmann::json& faults)
+bool proxy::set_faults(const nlohmann::json& faults)
 {
     const auto result = control("/faults", faults.dump());
     return result.error == http_error::none && result.response.status == 200;
--- a/tests/support/proxy.h
+++ b/tests/support/proxy.h
@@ -18,8 +18,9 @@
 
     std::uint16_t port() const { return port_; }
 
-    /// Sets the faults, for example {{"mode", "delay"}, {"delay_ms", 50}}; whether it worked.
-    bool set(const nlohmann::json& faults);
+    /// Sets the faults, for example {{"mode", "delay"}, {"delay_ms", 50}}. Returns whether the
+    /// proxy accepted them.
+    bool set_faults(const nlohmann::json& faults);
     nlohmann::json counters();
 
 private:
