--- a/tests/demo/demo.cpp
+++ b/tests/demo/demo.cpp
@@ -1,4 +1,5 @@
-// Runs the whole path with stand-ins on loopback and shows calls being answered. Ends by itself.
+// Starts nodes and stub upstreams on loopback, sends calls through the nodes and prints the
+// responses. Exits after a fixed number of calls.
 
 #include "../support/fleet.h"
 
@@ -19,22 +20,23 @@
 constexpr milliseconds pause_between_calls{250};
 constexpr std::size_t node_count = 6;
 
-// Set by SIGINT; the children end with this process.
-std::atomic<bool> interrupted = false;
+// Set by SIGINT. The child processes end when this process does.
+std::atomic<bool> stop_requested = false;
 
-std::string text_of(const http_result& result, std::string_view name)
+std::string header_text(const http_result& result, std::string_view name)
 {
     return std::string{find_header(result.response.headers, name).value_or("-")};
 }
 
-void show_call(fleet& all, const fleet_member& entry, const std::string& service, int number)
+void print_call(fleet& demo_fleet, const fleet_member& member, const std::string& service,
+                int account)
 {
     const auto result =
-        exchange(all.client(), entry.caller_port,
-                 {"GET", "/call/" + service + "/balance/" + std::to_string(number), {}, ""});
-    std::printf("%-9s -> %-11s status %d, outcome %s, %.2f ms\n", entry.data_centre.c_str(),
-                service.c_str(), result.response.status, text_of(result, header::outcome).c_str(),
-                result.elapsed.count());
+        exchange(demo_fleet.client(), member.caller_port,
+                 {"GET", "/call/" + service + "/balance/" + std::to_string(account), {}, ""});
+    std::printf("%-9s -> %-11s status %d, outcome %s, %.2f ms\n", member.data_centre.c_str(),
+                service.c_str(), result.response.status,
+                header_text(result, header::outcome).c_str(), result.elapsed.count());
     std::fflush(stdout);
 }
 
@@ -42,26 +44,27 @@
 
 int main()
 {
-    std::signal(SIGINT, [](int) { interrupted = true; });
-    fleet all;
+    std::signal(SIGINT, [](int) { stop_requested = true; });
+    fleet demo_fleet;
     for (const char* data_centre : {"howrah", "garia"}) {
         for (const char* service : {"ledger-view", "refund-desk", "crate-yard"}) {
-            all.add(data_centre, service);
+            demo_fleet.add(data_centre, service);
         }
     }
-    all.publish(*all.members().front(), "platform", "main", 0,
-                section_content("platform", {"ledger-view", "refund-desk", "crate-yard"}),
-                "demo-1");
-    if (!all.wait_until_ready(node_count)) {
-        std::fprintf(stderr, "the nodes did not find each other\n");
+    demo_fleet.publish(*demo_fleet.members().front(), "platform", "main", 0,
+                       section_content("platform", {"ledger-view", "refund-desk", "crate-yard"}),
+                       "demo-1");
+    if (!demo_fleet.wait_until_ready(node_count)) {
+        std::fprintf(stderr, "the nodes did not become ready\n");
         return EXIT_FAILURE;
     }
     std::printf("%zu nodes with one upstream each; caller port of the first: %d, admin port: %d\n",
-                node_count, all.members().front()->caller_port, all.members().front()->admin_port);
+                node_count, demo_fleet.members().front()->caller_port,
+                demo_fleet.members().front()->admin_port);
     const char* services[] = {"ledger-view", "refund-desk", "crate-yard"};
-    for (int i = 0; i < rounds && !interrupted; ++i) {
-        show_call(all, *all.members()[static_cast<std::size_t>(i) % node_count], services[i % 3],
-                  i);
+    for (int i = 0; i < rounds && !stop_requested; ++i) {
+        print_call(demo_fleet, *demo_fleet.members()[static_cast<std::size_t>(i) % node_count],
+                   services[i % 3], i);
         std::this_thread::sleep_for(pause_between_calls);
     }
     return EXIT_SUCCESS;
--- a/tests/stub_log/stub_log.cpp
+++ b/tests/stub_log/stub_log.cpp
@@ -1,4 +1,4 @@
-// Stand-in for the platform's append-only log service. Keeps records in memory.
+// Stub of the platform's append-only log service. Keeps records in memory.
 
 #include "../support/stub_main.h"
 
@@ -35,7 +35,7 @@
     std::uint64_t next() const { return first + records.size(); }
 };
 
-/// Faults that a test can switch on.
+/// Faults that a test can enable.
 struct fault_switches {
     bool down = false;
     bool drop_append_answers = false;
@@ -79,16 +79,16 @@
 private:
     void set_faults(const http_request& request, responder& response)
     {
-        const auto wanted = nlohmann::json::parse(request.body, nullptr, false);
-        if (!wanted.is_object()) {
+        const auto body = nlohmann::json::parse(request.body, nullptr, false);
+        if (!body.is_object()) {
             response.send({400, {}, ""});
             return;
         }
         const std::lock_guard lock{mutex_};
-        faults_.down = wanted.value("down", faults_.down);
+        faults_.down = body.value("down", faults_.down);
         faults_.drop_append_answers =
-            wanted.value("drop_append_answers", faults_.drop_append_answers);
-        faults_.delay_ms = wanted.value("delay_ms", faults_.delay_ms);
+            body.value("drop_append_answers", faults_.drop_append_answers);
+        faults_.delay_ms = body.value("delay_ms", faults_.delay_ms);
         response.send({200, {}, ""});
     }
 
@@ -103,7 +103,7 @@
         response.send({200, {}, nlohmann::json{{"offset", offset}}.dump()});
     }
 
-    /// Removes all records below the offset in the body, as if they had reached their retention.
+    /// Removes all records below the offset in the body, as if their retention time had passed.
     static void expire(stream_state& stream, const http_request& request, responder& response)
     {
         const std::uint64_t below = std::strtoull(request.body.c_str(), nullptr, 10);
@@ -156,7 +156,7 @@
     http_server_options options;
     options.threads = 2;
     return chestnutstand::testing::run_stub(
-        options, [&](const http_request& request, const std::shared_ptr<responder>& to) {
-            log.handle(request, to);
+        options, [&](const http_request& request, const std::shared_ptr<responder>& response) {
+            log.handle(request, response);
         });
 }
--- a/tests/stub_store/stub_store.cpp
+++ b/tests/stub_store/stub_store.cpp
@@ -1,5 +1,5 @@
-// Stand-in for the platform's metadata store, by its published protocol: keyed topics with one
-// partition. Keeps everything in memory. PUT /control/document writes the operator's record.
+// Stub of the platform's metadata store that implements its published protocol: keyed topics with
+// one partition. Keeps everything in memory. PUT /control/document writes the operator's record.
 
 #include "../support/stub_main.h"
 
@@ -25,11 +25,11 @@
 struct stored_record {
     std::string key;
     std::string value;
-    /// As it stands on the wire.
+    /// The record in its wire format.
     std::string bytes;
 };
 
-/// A read that waits for a record.
+/// A read that waits for the next record of its topic.
 struct waiting_read {
     std::string topic;
     std::size_t from = 0;
@@ -38,21 +38,21 @@
 
 std::string parameter(const std::string& target, const std::string& name)
 {
-    const auto at = target.find(name + "=");
-    if (at == std::string::npos) {
+    const auto found = target.find(name + "=");
+    if (found == std::string::npos) {
         return "";
     }
-    const auto start = at + name.size() + 1;
+    const auto start = found + name.size() + 1;
     return target.substr(start, target.find('&', start) - start);
 }
 
 std::string big_endian(std::uint64_t value)
 {
-    std::string out;
+    std::string bytes;
     for (int shift = 56; shift >= 0; shift -= 8) {
-        out.push_back(static_cast<char>((value >> static_cast<unsigned>(shift)) & 0xffU));
+        bytes.push_back(static_cast<char>((value >> static_cast<unsigned>(shift)) & 0xffU));
     }
-    return out;
+    return bytes;
 }
 
 class stub_store {
@@ -83,21 +83,21 @@
 private:
     void append(const std::string& topic, const std::string& bytes)
     {
-        // The length of the record and that of its key come first.
+        // A record begins with its own length and the length of its key.
         constexpr std::size_t length_bytes = 4;
         const auto key_bytes = static_cast<unsigned char>(bytes.at(length_bytes));
         topics_[topic].push_back({bytes.substr(length_bytes + 1, key_bytes),
                                   bytes.substr(length_bytes + 1 + key_bytes), bytes});
-        std::vector<waiting_read> still;
-        for (auto& each : waiting_) {
-            if (each.topic == topic && each.from < topics_[topic].size()) {
-                answer_read(topic, each.from, *each.response);
+        std::vector<waiting_read> remaining;
+        for (auto& waiting : waiting_reads_) {
+            if (waiting.topic == topic && waiting.from < topics_[topic].size()) {
+                send_records(topic, waiting.from, *waiting.response);
             }
             else {
-                still.push_back(std::move(each));
+                remaining.push_back(std::move(waiting));
             }
         }
-        waiting_ = std::move(still);
+        waiting_reads_ = std::move(remaining);
     }
 
     void newest(const std::string& topic, responder& response)
@@ -122,28 +122,28 @@
     {
         const auto from = std::strtoull(parameter(target, "From").c_str(), nullptr, 10);
         if (from < topics_[topic].size()) {
-            answer_read(topic, from, *response);
+            send_records(topic, from, *response);
             return;
         }
-        waiting_.push_back({topic, static_cast<std::size_t>(from), response});
+        waiting_reads_.push_back({topic, static_cast<std::size_t>(from), response});
         const auto wait = std::strtod(parameter(target, "WaitMs").c_str(), nullptr);
-        loop_.post_after(milliseconds{wait}, [this, response] { end_wait(response); });
+        loop_.post_after(milliseconds{wait}, [this, response] { time_out_read(response); });
     }
 
-    /// A read that nothing came for within its time gets an answer without records.
-    void end_wait(const std::shared_ptr<responder>& response)
+    /// Responds to a read without records when none was appended within its waiting time.
+    void time_out_read(const std::shared_ptr<responder>& response)
     {
         const std::lock_guard lock{mutex_};
-        const auto found = std::find_if(waiting_.begin(), waiting_.end(), [&](const auto& each) {
-            return each.response == response;
-        });
-        if (found != waiting_.end()) {
-            answer_read(found->topic, found->from, *response);
-            waiting_.erase(found);
+        const auto found =
+            std::find_if(waiting_reads_.begin(), waiting_reads_.end(),
+                         [&](const auto& waiting) { return waiting.response == response; });
+        if (found != waiting_reads_.end()) {
+            send_records(found->topic, found->from, *response);
+            waiting_reads_.erase(found);
         }
     }
 
-    void answer_read(const std::string& topic, std::size_t from, responder& response)
+    void send_records(const std::string& topic, std::size_t from, responder& response)
     {
         const auto& records = topics_[topic];
         std::string body = big_endian(records.size()) + big_endian(0);
@@ -155,7 +155,7 @@
 
     std::mutex mutex_;
     std::map<std::string, std::vector<stored_record>> topics_;
-    std::vector<waiting_read> waiting_;
+    std::vector<waiting_read> waiting_reads_;
     control_loop loop_;
 };
 
@@ -166,7 +166,7 @@
     stub_store store;
     return chestnutstand::testing::run_stub(
         http_server_options{},
-        [&](const http_request& request, const std::shared_ptr<responder>& to) {
-            store.handle(request, to);
+        [&](const http_request& request, const std::shared_ptr<responder>& response) {
+            store.handle(request, response);
         });
 }
--- a/tests/stub_upstream/stub_upstream.cpp
+++ b/tests/stub_upstream/stub_upstream.cpp
@@ -1,4 +1,5 @@
-// Stand-in for an upstream server: limited slots, settable service time, execution history, faults.
+// Stub of an upstream server that registers a number of slots, has a configurable service time and
+// faults, and writes an execution history.
 
 #include "../support/stub_main.h"
 
@@ -30,25 +31,25 @@
     /// Admin port of the node beside this upstream; 0 means no registration.
     int node_admin_port = 0;
     int slots = 10;
-    /// Port to register in place of the own one; 0 means the own one.
+    /// Port to register instead of the listening port; 0 means the listening port.
     int announced_port = 0;
     double service_ms = 0.0;
     /// File of JSON lines, one per execution; empty means none.
     std::string history;
-    /// File of JSON lines, one per request, written before it runs; empty means none.
+    /// File of JSON lines, one per request, written before the request runs; empty means none.
     std::string arrivals;
 };
 
 /// Behaviour that a test can change while the stub runs.
 struct behaviour {
     double service_ms = 0.0;
-    /// Answers 503 with proof of not-run at once.
+    /// Responds immediately with 503 and the header that states that the request was not run.
     bool shed = false;
-    /// Answers 500 at once.
+    /// Responds immediately with 500.
     bool fail_fast = false;
-    /// Answers with the id and the content of another request.
+    /// Responds with the id and the content of another request.
     bool cross_answers = false;
-    /// What GET /load claims to be in flight; negative means the truth.
+    /// Number of requests in flight that GET /load reports; negative means the actual number.
     int claimed_in_flight = -1;
 };
 
@@ -84,18 +85,18 @@
 private:
     void set_behaviour(const http_request& request, responder& response)
     {
-        const auto wanted = nlohmann::json::parse(request.body, nullptr, false);
-        if (!wanted.is_object()) {
+        const auto body = nlohmann::json::parse(request.body, nullptr, false);
+        if (!body.is_object()) {
             response.send({400, {}, ""});
             return;
         }
         const std::lock_guard lock{mutex_};
-        behaviour_.service_ms = wanted.value("service_ms", behaviour_.service_ms);
-        behaviour_.shed = wanted.value("shed", behaviour_.shed);
-        behaviour_.fail_fast = wanted.value("fail_fast", behaviour_.fail_fast);
-        behaviour_.cross_answers = wanted.value("cross_answers", behaviour_.cross_answers);
+        behaviour_.service_ms = body.value("service_ms", behaviour_.service_ms);
+        behaviour_.shed = body.value("shed", behaviour_.shed);
+        behaviour_.fail_fast = body.value("fail_fast", behaviour_.fail_fast);
+        behaviour_.cross_answers = body.value("cross_answers", behaviour_.cross_answers);
         behaviour_.claimed_in_flight =
-            wanted.value("claimed_in_flight", behaviour_.claimed_in_flight);
+            body.value("claimed_in_flight", behaviour_.claimed_in_flight);
         response.send({200, {}, ""});
     }
 
@@ -122,7 +123,7 @@
                            .dump()});
     }
 
-    static std::string text(const http_request& request, std::string_view name)
+    static std::string header_text(const http_request& request, std::string_view name)
     {
         return std::string{find_header(request.headers, name).value_or("")};
     }
@@ -138,54 +139,54 @@
 
     void serve(const http_request& request, const std::shared_ptr<responder>& response)
     {
-        behaviour now;
+        behaviour current;
         {
             const std::lock_guard lock{mutex_};
             ++attempts_;
-            now = behaviour_;
+            current = behaviour_;
         }
-        const std::string id = text(request, header::request_id);
-        note_arrival(id, !now.shed);
-        http_response answer;
-        answer.headers.push_back(
-            {std::string{header::request_id}, now.cross_answers ? id + "-other" : id});
-        if (now.shed) {
-            answer.status = 503;
-            answer.headers.push_back({std::string{header::not_run}, "true"});
-            response->send(std::move(answer));
+        const std::string id = header_text(request, header::request_id);
+        record_arrival(id, !current.shed);
+        http_response reply;
+        reply.headers.push_back(
+            {std::string{header::request_id}, current.cross_answers ? id + "-other" : id});
+        if (current.shed) {
+            reply.status = 503;
+            reply.headers.push_back({std::string{header::not_run}, "true"});
+            response->send(std::move(reply));
             return;
         }
-        if (now.fail_fast) {
-            answer.status = 500;
-            response->send(std::move(answer));
+        if (current.fail_fast) {
+            reply.status = 500;
+            response->send(std::move(reply));
             return;
         }
         begin_execution();
-        answer.status = 200;
-        answer.headers.push_back({"Content-Type", "application/json"});
-        answer.body = nlohmann::json{
+        reply.status = 200;
+        reply.headers.push_back({"Content-Type", "application/json"});
+        reply.body = nlohmann::json{
             {"service", options_.service},
             {"target", request.target},
             {"method", request.method},
-            {"echo", now.cross_answers ? "content of another request" : request.body},
+            {"echo", current.cross_answers ? "content of another request" : request.body},
             {"headers", header_names(request)},
-            {"timeout_ms", text(request, header::timeout_ms)},
-            {"depth", text(request, header::depth)},
+            {"timeout_ms", header_text(request, header::timeout_ms)},
+            {"depth", header_text(request, header::depth)},
             {"execution",
              id}}.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
         const time_point start = ms_clock::now();
-        const auto finish = [this, request, response, answer, start] {
-            end_execution(request, answer, start);
-            response->send(answer);
+        const auto finish = [this, request, response, reply, start] {
+            end_execution(request, reply, start);
+            response->send(reply);
         };
-        if (now.service_ms <= 0.0) {
+        if (current.service_ms <= 0.0) {
             finish();
             return;
         }
-        loop_.post_after(milliseconds{now.service_ms}, finish);
+        loop_.post_after(milliseconds{current.service_ms}, finish);
     }
 
-    void note_arrival(const std::string& id, bool runs)
+    void record_arrival(const std::string& id, bool runs)
     {
         const std::lock_guard lock{mutex_};
         if (arrivals_.is_open()) {
@@ -204,7 +205,7 @@
         peak_ = std::max(peak_, ++in_flight_);
     }
 
-    void end_execution(const http_request& request, const http_response& answer, time_point start)
+    void end_execution(const http_request& request, const http_response& reply, time_point start)
     {
         const std::lock_guard lock{mutex_};
         --in_flight_;
@@ -213,9 +214,9 @@
         }
         history_ << nlohmann::json{{"type", "execution"},
                                    {"service", options_.service},
-                                   {"key", text(request, header::idempotency_key)},
+                                   {"key", header_text(request, header::idempotency_key)},
                                    {"payload", request.body},
-                                   {"response", answer.body},
+                                   {"response", reply.body},
                                    {"start", start.time_since_epoch().count()},
                                    {"end", ms_clock::now().time_since_epoch().count()}}
                         .dump()
@@ -235,7 +236,7 @@
     control_loop loop_;
 };
 
-void announce(http_client& client, const stub_options& options, int port)
+void send_registration(http_client& client, const stub_options& options, int port)
 {
     http_request request;
     request.method = "POST";
@@ -251,17 +252,17 @@
 stub_options parse_options(int argc, char** argv)
 {
     stub_options options;
-    const option known[] = {{"service", required_argument, nullptr, 's'},
-                            {"node-admin-port", required_argument, nullptr, 'n'},
-                            {"slots", required_argument, nullptr, 'l'},
-                            {"history", required_argument, nullptr, 'h'},
-                            {"arrivals", required_argument, nullptr, 'a'},
-                            {"announced-port", required_argument, nullptr, 'p'},
-                            {"service-ms", required_argument, nullptr, 'm'},
-                            {nullptr, 0, nullptr, 0}};
-    int found = 0;
-    while ((found = getopt_long(argc, argv, "", known, nullptr)) != -1) {
-        switch (found) {
+    const option long_options[] = {{"service", required_argument, nullptr, 's'},
+                                   {"node-admin-port", required_argument, nullptr, 'n'},
+                                   {"slots", required_argument, nullptr, 'l'},
+                                   {"history", required_argument, nullptr, 'h'},
+                                   {"arrivals", required_argument, nullptr, 'a'},
+                                   {"announced-port", required_argument, nullptr, 'p'},
+                                   {"service-ms", required_argument, nullptr, 'm'},
+                                   {nullptr, 0, nullptr, 0}};
+    int option_value = 0;
+    while ((option_value = getopt_long(argc, argv, "", long_options, nullptr)) != -1) {
+        switch (option_value) {
         case 's':
             options.service = optarg;
             break;
@@ -298,23 +299,25 @@
     stub_upstream upstream{options};
     http_server_options server_options;
     server_options.threads = 2;
-    http_server server{server_options,
-                       [&](const http_request& request, const std::shared_ptr<responder>& to) {
-                           upstream.handle(request, to);
+    http_server server{server_options, [&](const http_request& request,
+                                           const std::shared_ptr<responder>& response) {
+                           upstream.handle(request, response);
                        }};
     if (!server.start().ok()) {
         return EXIT_FAILURE;
     }
     const auto client = make_http_client();
-    control_loop announcer;
+    control_loop registration_loop;
     if (options.node_admin_port != 0) {
         const int port = options.announced_port != 0 ? options.announced_port : server.port();
-        const auto again = [&client, &options, port] { announce(*client, options, port); };
-        announcer.post(again);
-        announcer.repeat(register_interval, again);
+        const auto register_upstream = [&client, &options, port] {
+            send_registration(*client, options, port);
+        };
+        registration_loop.post(register_upstream);
+        registration_loop.repeat(register_interval, register_upstream);
     }
     chestnutstand::testing::wait_for_end_of_test(server);
-    announcer.stop();
+    registration_loop.stop();
     server.stop();
     return EXIT_SUCCESS;
 }
--- a/tests/support/fleet.cpp
+++ b/tests/support/fleet.cpp
@@ -30,16 +30,16 @@
 http_result exchange(http_client& client, std::uint16_t port, http_request request,
                      milliseconds timeout)
 {
-    auto ended = std::make_shared<std::promise<http_result>>();
+    auto promise = std::make_shared<std::promise<http_result>>();
     client.send(base_url(port), std::move(request), timeout,
-                [ended](http_result result) { ended->set_value(std::move(result)); });
-    return ended->get_future().get();
+                [promise](http_result result) { promise->set_value(std::move(result)); });
+    return promise->get_future().get();
 }
 
-bool eventually(const std::function<bool()>& holds, milliseconds limit)
+bool eventually(const std::function<bool()>& condition, milliseconds limit)
 {
     const time_point end = ms_clock::now() + limit;
-    while (!holds()) {
+    while (!condition()) {
         if (ms_clock::now() >= end) {
             return false;
         }
@@ -67,38 +67,38 @@
 fleet_member& fleet::add(const std::string& data_centre, const std::string& service,
                          const std::vector<std::string>& upstream_arguments)
 {
-    auto added = std::make_unique<fleet_member>();
-    added->data_centre = data_centre;
-    added->service = service;
-    nlohmann::json own_settings{{"data_centre", data_centre},
-                                {"log_url", base_url(log_port_)},
-                                {"cluster_secret", cluster_secret_},
-                                {"log_level", "debug"},
-                                {"lame_duck_ms", 500}};
-    own_settings.update(extra_settings_);
+    auto member = std::make_unique<fleet_member>();
+    member->data_centre = data_centre;
+    member->service = service;
+    nlohmann::json settings{{"data_centre", data_centre},
+                            {"log_url", base_url(log_port_)},
+                            {"cluster_secret", cluster_secret_},
+                            {"log_level", "debug"},
+                            {"lame_duck_ms", 500}};
+    settings.update(extra_settings_);
     const auto file = directory_ / ("node-" + std::to_string(members_.size()) + ".json");
-    std::ofstream{file} << own_settings.dump(2);
-    added->node = std::make_unique<process>(
+    std::ofstream{file} << settings.dump(2);
+    member->node = std::make_unique<process>(
         CHESTNUTSTAND_PROGRAM, std::vector<std::string>{"node", "--settings", file.string()});
-    const auto started = added->node->wait_for_line(
+    const auto started = member->node->wait_for_line(
         [](const auto& fields) { return fields.value("message", "") == "node started"; });
     if (started) {
-        added->caller_port = (*started)["caller_port"].get<std::uint16_t>();
-        added->admin_port = (*started)["admin_port"].get<std::uint16_t>();
-        added->gossip_port = (*started)["gossip_port"].get<std::uint16_t>();
+        member->caller_port = (*started)["caller_port"].get<std::uint16_t>();
+        member->admin_port = (*started)["admin_port"].get<std::uint16_t>();
+        member->gossip_port = (*started)["gossip_port"].get<std::uint16_t>();
     }
     if (!service.empty()) {
         std::vector<std::string> arguments{"--service", service, "--node-admin-port",
-                                           std::to_string(added->admin_port)};
+                                           std::to_string(member->admin_port)};
         arguments.insert(arguments.end(), upstream_arguments.begin(), upstream_arguments.end());
-        added->upstream = std::make_unique<process>(STUB_UPSTREAM_PROGRAM, arguments);
-        added->upstream_port = announced_port(*added->upstream);
+        member->upstream = std::make_unique<process>(STUB_UPSTREAM_PROGRAM, arguments);
+        member->upstream_port = announced_port(*member->upstream);
     }
-    members_.push_back(std::move(added));
+    members_.push_back(std::move(member));
     return *members_.back();
 }
 
-nlohmann::json fleet::publish(const fleet_member& through, const std::string& team,
+nlohmann::json fleet::publish(const fleet_member& member, const std::string& team,
                               const std::string& section, std::uint64_t base_version,
                               const std::string& content, const std::string& change_id)
 {
@@ -112,37 +112,37 @@
         {"base_version", base_version},
         {"content",
          content}}.dump();
-    const auto result = exchange(*client_, through.admin_port, std::move(request));
+    const auto result = exchange(*client_, member.admin_port, std::move(request));
     return nlohmann::json::parse(result.response.body, nullptr, false);
 }
 
-nlohmann::json fleet::status(const fleet_member& of)
+nlohmann::json fleet::status(const fleet_member& member)
 {
     const auto result =
-        exchange(*client_, of.admin_port, {"GET", "/status", {}, ""}, milliseconds{2'000});
+        exchange(*client_, member.admin_port, {"GET", "/status", {}, ""}, milliseconds{2'000});
     auto parsed = nlohmann::json::parse(result.response.body, nullptr, false);
     return parsed.is_object() ? parsed : nlohmann::json();
 }
 
 bool fleet::wait_until_ready(std::size_t count)
 {
-    const auto ready = [&](const fleet_member& each) {
-        if (!each.node->running()) {
+    const auto is_ready = [&](const fleet_member& member) {
+        if (!member.node->running()) {
             return true;
         }
-        const auto now = status(each);
-        if (!now.is_object() || now["config_version"].is_null()) {
+        const auto status_json = status(member);
+        if (!status_json.is_object() || status_json["config_version"].is_null()) {
             return false;
         }
         std::size_t routed = 0;
-        for (const auto& members : now["routes"]) {
+        for (const auto& members : status_json["routes"]) {
             routed += members.get<std::size_t>();
         }
         return routed >= count;
     };
     return eventually([&] {
-        for (const auto& each : members_) {
-            if (!ready(*each)) {
+        for (const auto& member : members_) {
+            if (!is_ready(*member)) {
                 return false;
             }
         }
@@ -156,9 +156,9 @@
     return result.error == http_error::none && result.response.status == 200;
 }
 
-nlohmann::json fleet::counters(const fleet_member& of)
+nlohmann::json fleet::counters(const fleet_member& member)
 {
-    const auto result = exchange(*client_, of.upstream_port, {"GET", "/counters", {}, ""});
+    const auto result = exchange(*client_, member.upstream_port, {"GET", "/counters", {}, ""});
     return nlohmann::json::parse(result.response.body, nullptr, false);
 }
 
--- a/tests/support/fleet.h
+++ b/tests/support/fleet.h
@@ -13,14 +13,14 @@
 
 namespace chestnutstand::testing {
 
-/// Sends one request and waits for the result.
+/// Sends a request to a port on loopback and waits for the result.
 http_result exchange(http_client& client, std::uint16_t port, http_request request,
                      milliseconds timeout = milliseconds{30'000});
 
-/// Repeats a check until it holds or the limit has passed; whether it held.
-bool eventually(const std::function<bool()>& holds, milliseconds limit = milliseconds{20'000});
+/// Polls a condition until it is true or the limit has passed. Returns whether it became true.
+bool eventually(const std::function<bool()>& condition, milliseconds limit = milliseconds{20'000});
 
-/// One node process with the stub upstream beside it.
+/// A node process and the stub upstream beside it, if any.
 struct fleet_member {
     std::string data_centre;
     std::string service;
@@ -44,31 +44,30 @@
     fleet_member& add(const std::string& data_centre, const std::string& service,
                       const std::vector<std::string>& upstream_arguments = {});
 
-    /// Publishes one section through a node and waits for the verdict.
-    nlohmann::json publish(const fleet_member& through, const std::string& team,
+    /// Publishes a section through a node and waits for the result.
+    nlohmann::json publish(const fleet_member& member, const std::string& team,
                            const std::string& section, std::uint64_t base_version,
                            const std::string& content, const std::string& change_id);
 
     /// Waits until every running node has a document and routes calls to the given number of
-    /// members.
+    /// members. Returns whether that happened in time.
     bool wait_until_ready(std::size_t members);
 
-    /// JSON of an admin endpoint, or null.
-    nlohmann::json status(const fleet_member& of);
+    /// Returns the JSON that the node's admin port serves at /status; null if it is not available.
+    nlohmann::json status(const fleet_member& member);
 
-    /// Posts a JSON body to a stub's control endpoint.
+    /// Posts a JSON body to the control endpoint of a stub. Returns whether the stub accepted it.
     bool control(std::uint16_t port, const std::string& target, const nlohmann::json& body);
-    nlohmann::json counters(const fleet_member& of);
+    nlohmann::json counters(const fleet_member& member);
 
     http_client& client() { return *client_; }
     std::vector<std::unique_ptr<fleet_member>>& members() { return members_; }
     std::uint16_t log_port() const { return log_port_; }
     process& log() { return *log_; }
-    /// Differs between fleets, as nodes of tests that run at the same time reuse each other's
-    /// ports.
+    /// Differs between fleets, since the nodes of concurrent tests can reuse each other's ports.
     const std::string& cluster_secret() const { return cluster_secret_; }
     const std::filesystem::path& directory() const { return directory_; }
-    /// Extra settings merged into the settings file of nodes added from now on.
+    /// Settings merged into the settings files of nodes that are added later.
     nlohmann::json& extra_settings() { return extra_settings_; }
 
 private:
@@ -81,8 +80,8 @@
     std::vector<std::unique_ptr<fleet_member>> members_;
 };
 
-/// Section content with the services, each with an idempotent class "read" and a non-idempotent
-/// class "write".
+/// Returns section content with the services, each with an idempotent priority class "read" and a
+/// non-idempotent priority class "write".
 std::string section_content(const std::string& owner, const std::vector<std::string>& services);
 
 } // namespace chestnutstand::testing
--- a/tests/support/process.cpp
+++ b/tests/support/process.cpp
@@ -27,10 +27,10 @@
 [[noreturn]] void run_child(const std::string& program, std::vector<char*>& argv, int input,
                             int output)
 {
-    // Once the shell of a background job has ended, the kernel continues all stopped processes of
-    // the job's group.
+    // Puts the child into its own process group. Otherwise the kernel continues a child that a test
+    // stopped when the shell of a background job ends, with all stopped processes of its group.
     ::setpgid(0, 0);
-    // The test may be killed; its children must not outlive it.
+    // Ends the child also when the test is killed.
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     ::dup2(input, STDIN_FILENO);
     ::dup2(output, STDOUT_FILENO);
@@ -101,16 +101,16 @@
 }
 
 std::optional<nlohmann::json>
-process::wait_for_line(const std::function<bool(const nlohmann::json&)>& wanted)
+process::wait_for_line(const std::function<bool(const nlohmann::json&)>& predicate)
 {
     const auto limit = std::chrono::steady_clock::now() + line_wait_limit;
-    std::size_t seen = 0;
+    std::size_t checked = 0;
     while (std::chrono::steady_clock::now() < limit) {
         {
             const std::lock_guard lock{mutex_};
-            for (; seen < lines_.size(); ++seen) {
-                if (wanted(lines_[seen])) {
-                    return lines_[seen];
+            for (; checked < lines_.size(); ++checked) {
+                if (predicate(lines_[checked])) {
+                    return lines_[checked];
                 }
             }
             if (output_closed_) {
--- a/tests/support/process.h
+++ b/tests/support/process.h
@@ -13,12 +13,12 @@
 
 namespace chestnutstand::testing {
 
-/// Child process that writes JSON lines. It is killed when the object goes.
+/// Child process that writes JSON lines. It is killed when the object is destroyed.
 class process {
 public:
-    /// Starts the program; the pipe to its standard input stays open until the object goes. Its
-    /// output is also appended to the file unless the name is empty; then only the first lines are
-    /// kept in memory.
+    /// Starts the program. The pipe to its standard input stays open until the object is destroyed.
+    /// If an output file is named, the output is appended to it as well, and only the first lines
+    /// are kept in memory.
     process(const std::string& program, const std::vector<std::string>& arguments,
             const std::string& output_file = {});
     process(const process&) = delete;
@@ -26,22 +26,21 @@
     ~process();
 
     /// Waits for the first JSON line on standard output or standard error that satisfies the
-    /// predicate; nothing when the process ends or 20 s pass before.
+    /// predicate. Returns nothing if the process ends or 20 s pass before.
     std::optional<nlohmann::json>
-    wait_for_line(const std::function<bool(const nlohmann::json&)>& wanted);
+    wait_for_line(const std::function<bool(const nlohmann::json&)>& predicate);
 
     void signal(int number) const;
 
-    /// Kills with SIGKILL and waits for the end.
+    /// Sends SIGKILL and waits until the process has ended.
     void kill();
 
-    /// Waits for the end; the exit status, or minus the signal number.
+    /// Waits until the process has ended. Returns its exit status, or minus the signal number.
     int wait();
 
     bool running();
 
-    /// State of the process as the kernel tells it and its last lines, for messages of failed
-    /// checks.
+    /// Returns the line of /proc/PID/stat and the last output lines, for messages of failed checks.
     std::string describe();
     pid_t pid() const { return pid_; }
 
@@ -57,7 +56,7 @@
     std::thread reader_;
 };
 
-/// Port that a stub tells on its first line; 0 when it ended before.
+/// Returns the port that a stub prints on its first line; 0 if it printed none.
 std::uint16_t announced_port(process& stub);
 
 } // namespace chestnutstand::testing
--- a/tests/support/stub_main.h
+++ b/tests/support/stub_main.h
@@ -8,8 +8,8 @@
 
 namespace chestnutstand::testing {
 
-/// Tells the port of a started server on standard output and waits until the test that started the
-/// stub, which holds the other end of standard input, ends.
+/// Prints the port of a started server on standard output and waits for the end of standard input,
+/// whose other end is held by the test that started the stub.
 inline void wait_for_end_of_test(const http_server& server)
 {
     std::printf("{\"port\":%d}\n", server.port());
@@ -18,7 +18,7 @@
     }
 }
 
-/// Runs a stub whose handler is its only part; the exit status.
+/// Runs a stub that consists of an HTTP handler only. Returns the exit status.
 inline int run_stub(http_server_options options, http_server::handler handle)
 {
     http_server server{std::move(options), std::move(handle)};
