--- a/tests/integration/command_line_test.cpp
+++ b/tests/integration/command_line_test.cpp
@@ -41,7 +41,7 @@
     }
     void TearDown() override { std::filesystem::remove_all(directory_); }
 
-    std::string write(const std::string& name, const std::string& text) const
+    std::string write_file(const std::string& name, const std::string& text) const
     {
         const auto path = directory_ / name;
         std::ofstream{path} << text;
@@ -51,7 +51,7 @@
     std::filesystem::path directory_;
 };
 
-// Guards against a subcommand without help or version, and against other exit statuses.
+// Guards against a subcommand without --help or --version, or one that exits with an error there.
 TEST_F(command_line, every_subcommand_has_help_and_version)
 {
     EXPECT_EQ(run("--help").status, 0);
@@ -64,34 +64,35 @@
     }
 }
 
-// Guards against a request whose lines are missed, mixed with those of another, or out of order.
+// Guards against a trace that misses lines of the request, prints lines of another request, or is
+// not sorted by time.
 TEST_F(command_line, trace_prints_the_lines_of_one_request_in_order)
 {
-    const auto first =
-        write("a.log",
-              R"(node-a {"time_ms":120,"message":"call answered","request_id":"r1","reason":"none"}
+    const auto first_file = write_file(
+        "a.log",
+        R"(node-a {"time_ms":120,"message":"call answered","request_id":"r1","reason":"none"}
 node-a {"time_ms":105,"message":"call answered","request_id":"r2","reason":"none"}
 not a log line about r1
 )");
-    const auto second =
-        write("b.log", R"({"time_ms":110,"message":"call executed","request_id":"r1","run_ms":8.5}
+    const auto second_file = write_file(
+        "b.log", R"({"time_ms":110,"message":"call executed","request_id":"r1","run_ms":8.5}
 {"time_ms":100,"message":"call refused","request_id":"r10"}
 )");
-    const auto traced = run("trace r1 " + first + " " + second);
+    const auto traced = run("trace r1 " + first_file + " " + second_file);
     EXPECT_EQ(traced.status, 0);
-    const auto executed = traced.output.find("+0 ms  " + second + "  call executed");
+    const auto executed = traced.output.find("+0 ms  " + second_file + "  call executed");
     const auto answered = traced.output.find("+10 ms  node-a   call answered");
     ASSERT_NE(executed, std::string::npos) << traced.output;
     ASSERT_NE(answered, std::string::npos) << traced.output;
     EXPECT_LT(executed, answered);
     EXPECT_NE(traced.output.find("run_ms: 8.5"), std::string::npos);
     EXPECT_EQ(traced.output.find("call refused"), std::string::npos);
-    EXPECT_EQ(run("trace r3 " + first).status, 1);
+    EXPECT_EQ(run("trace r3 " + first_file).status, 1);
     EXPECT_EQ(run("trace r1 " + (directory_ / "none.log").string()).status, 1);
     EXPECT_EQ(run("trace r1").status, 2);
 }
 
-// Guards against usage errors that look like failures of the system.
+// Guards against usage errors with the exit status of a failed command.
 TEST_F(command_line, usage_errors_exit_with_2)
 {
     EXPECT_EQ(run("").status, 2);
@@ -105,10 +106,11 @@
     EXPECT_EQ(run("config publish file").status, 2);
 }
 
-// Guards against invalid input that is accepted, or refused without file, key and expected value.
+// Guards against invalid input that is accepted, or rejected with a message that does not name the
+// file, the key and the expected value.
 TEST_F(command_line, check_names_file_key_and_expected_value)
 {
-    const auto settings = write("node.json", R"({"data_centre": "garia", "admin_prot": 1,
+    const auto settings = write_file("node.json", R"({"data_centre": "garia", "admin_prot": 1,
         "log_url": "http://127.0.0.1:1", "cluster_secret": "0123456789abcdef"})");
     const auto refused = run("check settings " + settings);
     EXPECT_EQ(refused.status, 3);
@@ -117,32 +119,33 @@
                                    0),
               0U)
         << refused.output;
-    const auto valid = write("a.json", R"({"owner": "t", "services": [
+    const auto valid = write_file("a.json", R"({"owner": "t", "services": [
         {"name": "s", "priorities": [{"name": "p"}]}]})");
     EXPECT_EQ(run("check document " + valid).status, 0);
-    const auto same = write("b.json", R"({"owner": "t", "services": [
+    const auto duplicate = write_file("b.json", R"({"owner": "t", "services": [
         {"name": "s", "priorities": [{"name": "p"}]}]})");
-    EXPECT_EQ(run("check document " + valid + " " + same).status, 3);
+    EXPECT_EQ(run("check document " + valid + " " + duplicate).status, 3);
     EXPECT_EQ(run("check settings " + (directory_ / "missing").string()).status, 1);
 }
 
-// Guards against a node that cannot be reached being reported as success or as wrong usage.
+// Guards against an unreachable node being reported as success or as a usage error.
 TEST_F(command_line, unreachable_node_exits_with_1)
 {
-    // Port 1 is reserved and never listens here.
+    // Port 1 is reserved; no process listens on it.
     const auto result = run("status --admin http://127.0.0.1:1");
     EXPECT_EQ(result.status, 1);
     EXPECT_EQ(result.output, "chestnutstand: no answer from the node at http://127.0.0.1:1: "
                              "connection refused\n");
 }
 
-// Guards against operator commands that do not do what they say on a running node.
+// Guards against publish, show, status and drain commands that have a wrong effect or a wrong exit
+// status on a running node.
 TEST_F(command_line, operates_a_node)
 {
-    fleet all;
-    auto& node = all.add("east", "");
+    fleet test_fleet;
+    auto& node = test_fleet.add("east", "");
     const auto admin = " --admin http://127.0.0.1:" + std::to_string(node.admin_port);
-    const auto file = write("main.json", section_content("platform", {"alpha"}));
+    const auto file = write_file("main.json", section_content("platform", {"alpha"}));
     const auto publish = "config publish " + file + admin + " --section main";
 
     auto result = run(publish + " --team platform --base-version 0");
@@ -152,7 +155,7 @@
     EXPECT_EQ(result.status, 1);
     EXPECT_EQ(result.output, "chestnutstand: change rejected: section main is owned by team "
                              "platform, the change is from team intruders\n");
-    EXPECT_EQ(run("config publish " + write("bad.json", "{}") + admin +
+    EXPECT_EQ(run("config publish " + write_file("bad.json", "{}") + admin +
                   " --section main --team platform --base-version 1")
                   .status,
               3);
@@ -160,12 +163,12 @@
     result = run("config show --section main" + admin);
     EXPECT_EQ(result.status, 0);
     EXPECT_EQ(result.output.rfind("// section main, version 1, owner platform\n", 0), 0U);
-    const auto shown = write("shown.json", result.output);
+    const auto shown = write_file("shown.json", result.output);
     EXPECT_EQ(run("check document " + shown).status, 0);
     EXPECT_EQ(run("config show --section other" + admin).status, 1);
 
-    const auto status = nlohmann::json::parse(run("status" + admin).output, nullptr, false);
-    EXPECT_EQ(status.value("config_version", 0), 1);
+    const auto node_status = nlohmann::json::parse(run("status" + admin).output, nullptr, false);
+    EXPECT_EQ(node_status.value("config_version", 0), 1);
     EXPECT_EQ(run("drain" + admin).status, 0);
     EXPECT_EQ(node.node->wait(), 0);
 }
--- a/tests/integration/routed_path_test.cpp
+++ b/tests/integration/routed_path_test.cpp
@@ -14,17 +14,17 @@
 namespace chestnutstand::testing {
 namespace {
 
-/// Nodes that follow one document in a keyed store and lead requests by host and path.
+/// Nodes that read their document from a keyed store and route requests by host and path.
 class routed_path : public ::testing::Test {
 protected:
     routed_path() : store_{STUB_STORE_PROGRAM, {}}
     {
         store_port_ = announced_port(store_);
-        all_.extra_settings() = {{"log_url", ""},
-                                 {"store_url", "http://127.0.0.1:" + std::to_string(store_port_)},
-                                 {"caller_interface", "routes"},
-                                 {"node_carrier", "http"},
-                                 {"lame_duck_ms", 3'000}};
+        fleet_.extra_settings() = {{"log_url", ""},
+                                   {"store_url", "http://127.0.0.1:" + std::to_string(store_port_)},
+                                   {"caller_interface", "routes"},
+                                   {"node_carrier", "http"},
+                                   {"lame_duck_ms", 3'000}};
     }
 
     void write_document(int version, const std::string& prefix)
@@ -39,88 +39,91 @@
                                          {"kind", "idempotent"},
                                          {"timeout_ms", 5'000},
                                          {"attempts", 2}}}}};
-        const auto result =
-            exchange(all_.client(), store_port_, {"PUT", "/control/document", {}, document.dump()});
+        const auto result = exchange(fleet_.client(), store_port_,
+                                     {"PUT", "/control/document", {}, document.dump()});
         ASSERT_EQ(result.response.status, 200);
     }
 
-    int status_of(const fleet_member& through, const std::string& target)
+    int get_status(const fleet_member& ingress, const std::string& target)
     {
         const auto result =
-            exchange(all_.client(), through.caller_port,
+            exchange(fleet_.client(), ingress.caller_port,
                      {"GET", target, {{"Host", "shop.example"}}, ""}, milliseconds{5'000});
         return result.error == http_error::none ? result.response.status : 0;
     }
 
     process store_;
     std::uint16_t store_port_ = 0;
-    fleet all_;
+    fleet fleet_;
 };
 
-// Guards against a node that finds neither the document nor the other nodes through the store, and
-// against a change that does not come into force.
+// Guards against a node that does not find the document or the other nodes through the store, and
+// against a changed document that does not come into force.
 TEST_F(routed_path, serves_routes_of_the_newest_document)
 {
     write_document(1, "/view/");
-    all_.add("east", "alpha");
-    const auto& without_upstream = all_.add("east", "");
-    ASSERT_TRUE(eventually([&] { return status_of(without_upstream, "/view/1") == 200; }));
-    EXPECT_EQ(status_of(without_upstream, "/other/1"), 404);
+    fleet_.add("east", "alpha");
+    const auto& without_upstream = fleet_.add("east", "");
+    ASSERT_TRUE(eventually([&] { return get_status(without_upstream, "/view/1") == 200; }));
+    EXPECT_EQ(get_status(without_upstream, "/other/1"), 404);
     write_document(2, "/other/");
-    EXPECT_TRUE(eventually([&] { return status_of(without_upstream, "/other/1") == 200; }));
-    EXPECT_EQ(status_of(without_upstream, "/view/1"), 404);
+    EXPECT_TRUE(eventually([&] { return get_status(without_upstream, "/other/1") == 200; }));
+    EXPECT_EQ(get_status(without_upstream, "/view/1"), 404);
 }
 
-// Guards against a node that says it is ready while it could only refuse.
+// Guards against a node that reports that it is ready while it has no document and refuses all
+// requests.
 TEST_F(routed_path, is_ready_once_there_is_a_document)
 {
-    const auto& node = all_.add("east", "alpha");
+    const auto& node = fleet_.add("east", "alpha");
     const auto health = [&] {
-        return exchange(all_.client(), node.admin_port, {"GET", "/health", {}, ""}).response.status;
+        return exchange(fleet_.client(), node.admin_port, {"GET", "/health", {}, ""})
+            .response.status;
     };
     EXPECT_EQ(health(), 503);
-    EXPECT_EQ(status_of(node, "/view/1"), 503);
+    EXPECT_EQ(get_status(node, "/view/1"), 503);
     write_document(1, "/view/");
     EXPECT_TRUE(eventually([&] { return health() == 200; }));
 }
 
-// Guards against an upstream that gets no work for the whole restart of its node although it stays.
+// Guards against an upstream that gets no requests during the lame duck period of its stopping
+// node, although it keeps running.
 TEST_F(routed_path, upstream_serves_while_its_node_is_in_the_lame_duck_period)
 {
     write_document(1, "/view/");
-    const auto& stopping = all_.add("east", "alpha");
-    const auto& other = all_.add("east", "");
-    ASSERT_TRUE(eventually([&] { return status_of(other, "/view/1") == 200; }));
+    const auto& stopping = fleet_.add("east", "alpha");
+    const auto& other = fleet_.add("east", "");
+    ASSERT_TRUE(eventually([&] { return get_status(other, "/view/1") == 200; }));
     stopping.node->signal(SIGTERM);
     ASSERT_TRUE(stopping.node->wait_for_line(
         [](const auto& fields) { return fields.value("message", "") == "node drains"; }));
-    EXPECT_EQ(status_of(other, "/view/1"), 200);
+    EXPECT_EQ(get_status(other, "/view/1"), 200);
     EXPECT_EQ(
-        exchange(all_.client(), stopping.admin_port, {"GET", "/health", {}, ""}).response.status,
+        exchange(fleet_.client(), stopping.admin_port, {"GET", "/health", {}, ""}).response.status,
         503);
     EXPECT_EQ(stopping.node->wait(), 0);
 }
 
-// Guards against a changed settings file that costs the calls of the moment.
+// Guards against requests that fail while a changed settings file is reloaded.
 TEST_F(routed_path, serves_while_its_settings_are_reloaded)
 {
     write_document(1, "/view/");
-    const auto& node = all_.add("east", "alpha");
-    ASSERT_TRUE(eventually([&] { return status_of(node, "/view/1") == 200; }));
+    const auto& node = fleet_.add("east", "alpha");
+    ASSERT_TRUE(eventually([&] { return get_status(node, "/view/1") == 200; }));
     std::atomic<bool> stop{false};
     std::atomic<int> served{0};
-    std::atomic<int> other{0};
+    std::atomic<int> failed{0};
     std::vector<std::thread> callers;
     constexpr std::size_t caller_count = 3;
     callers.reserve(caller_count);
     for (std::size_t i = 0; i < caller_count; ++i) {
         callers.emplace_back([&] {
             while (!stop) {
-                ++(status_of(node, "/view/1") == 200 ? served : other);
+                ++(get_status(node, "/view/1") == 200 ? served : failed);
             }
         });
     }
-    const auto file = all_.directory() / "node-0.json";
+    const auto file = fleet_.directory() / "node-0.json";
     auto settings = nlohmann::json::parse(std::ifstream{file});
     for (const char* level : {"info", "debug", "info"}) {
         settings["log_level"] = level;
@@ -135,18 +138,18 @@
     }
     EXPECT_TRUE(node.node->wait_for_line(
         [](const auto& fields) { return fields.value("message", "") == "settings reloaded"; }));
-    EXPECT_EQ(other, 0);
+    EXPECT_EQ(failed, 0);
 }
 
-// Guards against a request id of a caller that leads to nothing in the logs.
-TEST_F(routed_path, logs_what_became_of_a_request)
+// Guards against a request id of a caller that does not appear in the logs.
+TEST_F(routed_path, logs_the_outcome_of_a_request)
 {
     write_document(1, "/view/");
-    const auto& node = all_.add("east", "alpha");
-    ASSERT_TRUE(eventually([&] { return status_of(node, "/view/1") == 200; }));
+    const auto& node = fleet_.add("east", "alpha");
+    ASSERT_TRUE(eventually([&] { return get_status(node, "/view/1") == 200; }));
     const std::string id = "request-under-test";
     exchange(
-        all_.client(), node.caller_port,
+        fleet_.client(), node.caller_port,
         {"GET", "/view/1", {{"Host", "shop.example"}, {std::string{header::request_id}, id}}, ""});
     for (const std::string message : {"call executed", "call answered"}) {
         EXPECT_TRUE(node.node->wait_for_line([&](const auto& fields) {
