--- a/include/chestnutstand/support/clock.h
+++ b/include/chestnutstand/support/clock.h
@@ -6,8 +6,8 @@
 
 namespace chestnutstand {
 
-/// Monotonic clock that counts milliseconds, with a fractional part for latencies below one. It
-/// goes on while the machine is suspended, so that deadlines and leases are over after a long
+/// Monotonic clock in milliseconds, with a fractional part for latencies below a millisecond. It
+/// keeps running while the machine is suspended, so that deadlines and leases expire during a
 /// suspension.
 struct ms_clock {
     using rep = double;
@@ -25,7 +25,7 @@
     }
 };
 
-/// Time of day in milliseconds, for comparison with times that other processes on the VM state.
+/// Wall-clock time in milliseconds, to compare with timestamps of other processes on the same VM.
 inline std::uint64_t unix_now_ms()
 {
     return static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(
--- a/include/chestnutstand/support/control_loop.h
+++ b/include/chestnutstand/support/control_loop.h
@@ -27,10 +27,12 @@
     /// Runs a task on the control thread after a delay. Callable from any thread.
     void post_after(milliseconds delay, task work);
 
-    /// Runs a task again and again; the next run is due one period after the end of the last.
+    /// Runs a task periodically, first after one period. Each further run is due one period after
+    /// the previous run has ended. Callable from any thread.
     void repeat(milliseconds period, task work);
 
-    /// Stops the thread; tasks that have not run are dropped. Idempotent.
+    /// Stops the thread and discards pending tasks. Idempotent. Waits for the thread to end, unless
+    /// called on it.
     void stop();
 
     bool on_control_thread() const { return std::this_thread::get_id() == thread_.get_id(); }
--- a/include/chestnutstand/support/log.h
+++ b/include/chestnutstand/support/log.h
@@ -10,23 +10,23 @@
 
 enum class log_level : std::uint8_t { debug, info, warning, error };
 
-/// One key and value of a log line.
+/// A key and its value in a log line.
 struct log_field {
     std::string_view key;
     std::variant<std::string, double, std::int64_t, std::uint64_t, bool> value;
 };
 
-/// Starts logging of JSON lines to standard output. Levels: debug, info, warning, error.
+/// Starts logging JSON lines to standard output, from the given level on.
 void init_logging(log_level lowest);
 
-/// Changes the lowest level while the process runs.
+/// Changes the lowest level that is logged.
 void set_log_level(log_level lowest);
 
-/// Level of a name, or info when the name is none of the four.
+/// The level with this name, or info when there is none.
 log_level log_level_from(std::string_view name);
 
-/// Writes one JSON line with the message and the fields. Never blocks; the lines per second of one
-/// message are bounded, and the next line tells how many were left out.
+/// Writes one JSON line with the message and the fields. Never blocks. Lines are rate limited per
+/// message; the next line that is written states how many were suppressed. Thread-safe.
 void log_event(log_level level, std::string_view message,
                std::initializer_list<log_field> fields = {});
 
--- a/include/chestnutstand/support/log_limit.h
+++ b/include/chestnutstand/support/log_limit.h
@@ -10,21 +10,21 @@
 
 namespace chestnutstand {
 
-/// Bounds the lines per second of each kind of message, so that a flood of one kind neither costs
-/// much nor hides the others. Pure and not thread-safe.
+/// Token bucket rate limit for each kind of log message, so that a frequent message neither takes
+/// much processor time nor displaces other messages. Not thread-safe.
 class log_limit {
 public:
     log_limit(double lines_per_s, double burst) : lines_per_s_{lines_per_s}, burst_{burst} {}
 
-    /// Number of lines of the kind that were left out before this one; nothing when this line has
-    /// to be left out as well.
+    /// Decides whether to write a line of this kind. Returns the number of lines of the kind that
+    /// were suppressed since the last written one, or nullopt when this line must be suppressed.
     std::optional<std::uint64_t> admit(std::string_view kind, time_point now);
 
 private:
     struct bucket {
-        double lines = 0.0;
+        double tokens = 0.0;
         time_point refilled;
-        std::uint64_t left_out = 0;
+        std::uint64_t suppressed = 0;
     };
 
     const double lines_per_s_;
--- a/include/chestnutstand/support/metrics.h
+++ b/include/chestnutstand/support/metrics.h
@@ -14,12 +14,12 @@
 
 namespace chestnutstand {
 
-/// What happened to a call when a reason was counted.
+/// What happened to the call for which a reason was counted.
 enum class reason_event : std::uint8_t { refused, retried, unknown_outcome };
 
 inline constexpr std::size_t reason_event_count = 3;
 
-/// Latency distribution with logarithmic bins from 0.05 ms to 60 s.
+/// Latency distribution with logarithmic bins from 0.05 ms to 60 s. Thread-safe.
 class latency_histogram {
 public:
     latency_histogram();
@@ -29,7 +29,7 @@
 
     void record(milliseconds latency);
 
-    /// Appends the histogram in the Prometheus text format; labels without braces.
+    /// Appends the histogram in the Prometheus text format. The labels are given without braces.
     void render(std::string& out, std::string_view name, std::string_view labels) const;
 
 private:
@@ -37,21 +37,22 @@
     std::unique_ptr<state> state_;
 };
 
-/// Counters and histograms of one process.
+/// Counters and histograms of one process. Thread-safe; it owns all counters and histograms.
 class metrics {
 public:
-    /// Counts a reason for a refusal, a retry or an unknown outcome.
+    /// Increments the counter for this reason of a refusal, a retry or an unknown outcome.
     void count(reason_event event, reason_code reason);
 
     std::uint64_t value(reason_event event, reason_code reason) const;
 
-    /// Counter that is created on first use; the name includes its labels in braces, if any.
+    /// Counter with this name, created on first use. The name includes its labels in braces, if
+    /// any.
     std::atomic<std::uint64_t>& counter(const std::string& name);
 
-    /// Histogram of the latency of calls of a service and priority class.
+    /// Latency histogram for calls to a service with a priority class, created on first use.
     latency_histogram& call_latency(std::string_view service, std::string_view priority);
 
-    /// Everything in the Prometheus text format.
+    /// All counters and histograms in the Prometheus text format.
     std::string render() const;
 
 private:
--- a/include/chestnutstand/support/name_table.h
+++ b/include/chestnutstand/support/name_table.h
@@ -7,7 +7,7 @@
 
 namespace chestnutstand {
 
-/// Names of the values of an enumeration whose values count up from zero.
+/// Maps between the values of an enumeration, which must count up from zero, and their names.
 template <typename Enum, std::size_t Size>
 class name_table {
 public:
--- a/include/chestnutstand/support/reason.h
+++ b/include/chestnutstand/support/reason.h
@@ -7,20 +7,20 @@
 
 namespace chestnutstand {
 
-/// What is known of a call once it has been answered.
+/// What the response to a call states about its execution.
 enum class call_outcome : std::uint8_t {
-    completed, ///< The upstream ran the call and its whole answer is here.
-    not_run,   ///< No upstream has run the call.
+    completed, ///< The upstream ran the call and its response was received in full.
+    not_run,   ///< No upstream ran the call.
     unknown,   ///< The call may or may not have run.
 };
 
 inline constexpr name_table<call_outcome, 3> outcome_names{{"completed", "not-run", "unknown"}};
 
-/// Why a call was refused, retried or left without an answer. The names appear in answers, logs and
+/// Why a call was refused, retried or not completed. The names appear in responses, logs and
 /// counters.
 enum class reason_code : std::uint8_t {
     none,
-    // Input.
+    // Invalid request.
     malformed_request,
     unknown_service,
     unknown_route,
@@ -53,7 +53,7 @@
     peer_unreachable,
     retry_budget_exhausted,
     caller_gone,
-    // The call may have run.
+    // The call may have run, or is still running.
     upstream_timeout,
     time_limit,
     upstream_connection_lost,
@@ -117,13 +117,13 @@
     "internal",
 }};
 
-/// Name of a reason as it appears in answers, logs and counters.
+/// Name of a reason as it appears in responses, logs and counters.
 constexpr std::string_view to_string(reason_code value)
 {
     return reason_names.name(value);
 }
 
-/// Name of an outcome as it appears in answers and logs.
+/// Name of an outcome as it appears in responses and logs.
 constexpr std::string_view to_string(call_outcome value)
 {
     return outcome_names.name(value);
--- a/include/chestnutstand/support/registry.h
+++ b/include/chestnutstand/support/registry.h
@@ -9,7 +9,7 @@
 
 namespace chestnutstand {
 
-/// Named factories of one kind of plug-in.
+/// Factories for plug-ins of one type, by name.
 template <typename Plugin, typename... Args>
 class registry {
 public:
@@ -17,8 +17,8 @@
 
     static registry& instance()
     {
-        static registry only;
-        return only;
+        static registry singleton;
+        return singleton;
     }
 
     void add(std::string name, factory make)
@@ -26,7 +26,7 @@
         factories_.emplace(std::move(name), std::move(make));
     }
 
-    /// A new plug-in, or null when no plug-in has that name.
+    /// Creates the plug-in with this name; null when there is none.
     std::unique_ptr<Plugin> make(std::string_view name, Args... args) const
     {
         const auto found = factories_.find(name);
@@ -39,7 +39,8 @@
     std::map<std::string, factory, std::less<>> factories_;
 };
 
-/// A file-local object of this type registers Implementation before main starts.
+/// Registers Implementation under a name. To be defined as a file-local object, whose constructor
+/// runs before main starts.
 template <typename Implementation, typename Plugin, typename... Args>
 struct registration {
     explicit registration(std::string name)
--- a/include/chestnutstand/support/snapshot.h
+++ b/include/chestnutstand/support/snapshot.h
@@ -6,7 +6,7 @@
 
 namespace chestnutstand {
 
-/// Immutable state published by one thread and read by many.
+/// Immutable state that one thread publishes and any thread reads.
 template <typename T>
 class snapshot {
 public:
--- a/include/chestnutstand/support/token_bucket.h
+++ b/include/chestnutstand/support/token_bucket.h
@@ -6,7 +6,8 @@
 
 namespace chestnutstand {
 
-/// Rate limit with a burst. Starts empty, so that a restart cannot raise the rate.
+/// Token bucket rate limiter. It starts empty, so that restarts of the process cannot raise the
+/// rate. Not thread-safe.
 class token_bucket {
 public:
     token_bucket(double tokens_per_second, double burst, time_point now)
@@ -14,7 +15,7 @@
     {
     }
 
-    /// Takes one token; false when there is none.
+    /// Takes one token; returns false when less than one is left.
     bool try_take(time_point now)
     {
         refill(now);
--- a/lib/support/control_loop.cpp
+++ b/lib/support/control_loop.cpp
@@ -25,7 +25,7 @@
         is_next = tasks_.empty() || due < tasks_.top().due;
         tasks_.push({due, next_sequence_++, std::move(work)});
     }
-    // A later task does not change when the thread has to wake up.
+    // The thread needs to wake up earlier only if the new task is the next one due.
     if (is_next) {
         wake_.notify_one();
     }
--- a/lib/support/log.cpp
+++ b/lib/support/log.cpp
@@ -21,14 +21,14 @@
 namespace chestnutstand {
 namespace {
 
-/// A pipe takes as many bytes at once, or none.
+/// A write of up to this size to a pipe is atomic: it writes all bytes or none.
 constexpr std::size_t max_line_bytes = PIPE_BUF;
-/// Bounds of each kind of message; a node at its usual load stays below.
+/// Rate limit of each message. A node at its usual load stays below it.
 constexpr double lines_per_s = 200.0;
 constexpr double line_burst = 400.0;
 
-/// Writes the already formatted JSON lines to standard output. A reader that does not keep up loses
-/// lines and never stops the process.
+/// Writes formatted JSON lines to standard output. When the reader is too slow, lines are dropped
+/// and counted, so that logging never blocks the process.
 class line_appender final : public log4cplus::Appender {
 public:
     ~line_appender() override { destructorImpl(); }
@@ -39,8 +39,8 @@
     void append(const log4cplus::spi::InternalLoggingEvent& event) override
     {
         std::string line = event.getMessage();
-        if (lost_lines_ > 0) {
-            line.insert(line.size() - 1, ",\"lines_lost\":" + std::to_string(lost_lines_));
+        if (dropped_lines_ > 0) {
+            line.insert(line.size() - 1, ",\"lines_lost\":" + std::to_string(dropped_lines_));
         }
         if (line.size() >= max_line_bytes) {
             line = R"({"level":"warning","message":"log line too long"})";
@@ -49,16 +49,15 @@
         pollfd output{STDOUT_FILENO, POLLOUT, 0};
         const bool writable = ::poll(&output, 1, 0) == 1 && (output.revents & POLLOUT) != 0;
         if (!writable || ::write(STDOUT_FILENO, line.data(), line.size()) < 0) {
-            ++lost_lines_;
+            ++dropped_lines_;
             return;
         }
-        lost_lines_ = 0;
+        dropped_lines_ = 0;
     }
 
 private:
-    /// Lines that standard output did not take since the last one that it took. The calls of
-    /// append() are serialized.
-    std::uint64_t lost_lines_ = 0;
+    /// Lines dropped since the last successful write. log4cplus serializes the calls of append().
+    std::uint64_t dropped_lines_ = 0;
 };
 
 constexpr name_table<log_level, 4> level_names{{"debug", "info", "warning", "error"}};
@@ -114,8 +113,8 @@
     if (!logger.isEnabledFor(native_level)) {
         return;
     }
-    const auto left_out = admit_line(message);
-    if (!left_out) {
+    const auto suppressed = admit_line(message);
+    if (!suppressed) {
         return;
     }
     nlohmann::ordered_json line;
@@ -125,10 +124,10 @@
     for (const auto& field : fields) {
         std::visit([&](const auto& value) { line[std::string{field.key}] = value; }, field.value);
     }
-    if (*left_out > 0) {
-        line["lines_left_out"] = *left_out;
+    if (*suppressed > 0) {
+        line["lines_left_out"] = *suppressed;
     }
-    // Invalid UTF-8 in a value must not stop the process.
+    // Replaces invalid UTF-8 in a value; otherwise dump() would throw.
     logger.forcedLog(native_level,
                      line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
--- a/lib/support/log_limit.cpp
+++ b/lib/support/log_limit.cpp
@@ -11,18 +11,18 @@
     if (found == buckets_.end()) {
         found = buckets_.emplace(std::string{kind}, bucket{burst_, now, 0}).first;
     }
-    bucket& of_kind = found->second;
-    if (now > of_kind.refilled) {
-        const double earned = (now - of_kind.refilled).count() / 1000.0 * lines_per_s_;
-        of_kind.lines = std::min(burst_, of_kind.lines + earned);
-        of_kind.refilled = now;
+    bucket& kind_bucket = found->second;
+    if (now > kind_bucket.refilled) {
+        const double refill = (now - kind_bucket.refilled).count() / 1000.0 * lines_per_s_;
+        kind_bucket.tokens = std::min(burst_, kind_bucket.tokens + refill);
+        kind_bucket.refilled = now;
     }
-    if (of_kind.lines < 1.0) {
-        ++of_kind.left_out;
+    if (kind_bucket.tokens < 1.0) {
+        ++kind_bucket.suppressed;
         return std::nullopt;
     }
-    of_kind.lines -= 1.0;
-    return std::exchange(of_kind.left_out, 0);
+    kind_bucket.tokens -= 1.0;
+    return std::exchange(kind_bucket.suppressed, 0);
 }
 
 } // namespace chestnutstand
--- a/lib/support/metrics.cpp
+++ b/lib/support/metrics.cpp
@@ -78,22 +78,22 @@
 std::atomic<std::uint64_t>& metrics::counter(const std::string& name)
 {
     const std::lock_guard lock{mutex_};
-    auto& slot = counters_[name];
-    if (!slot) {
-        slot = std::make_unique<std::atomic<std::uint64_t>>(0);
+    auto& entry = counters_[name];
+    if (!entry) {
+        entry = std::make_unique<std::atomic<std::uint64_t>>(0);
     }
-    return *slot;
+    return *entry;
 }
 
 latency_histogram& metrics::call_latency(std::string_view service, std::string_view priority)
 {
     const std::lock_guard lock{mutex_};
-    auto& slot = latencies_["service=\"" + std::string{service} + "\",priority=\"" +
-                            std::string{priority} + "\""];
-    if (!slot) {
-        slot = std::make_unique<latency_histogram>();
+    auto& entry = latencies_["service=\"" + std::string{service} + "\",priority=\"" +
+                             std::string{priority} + "\""];
+    if (!entry) {
+        entry = std::make_unique<latency_histogram>();
     }
-    return *slot;
+    return *entry;
 }
 
 std::string metrics::render() const
@@ -102,10 +102,10 @@
     for (std::size_t event = 0; event < reason_event_count; ++event) {
         const auto name = std::string{event_metrics.name(static_cast<reason_event>(event))};
         out += "# TYPE " + name + " counter\n";
-        for (std::size_t why = 1; why < reason_count; ++why) {
-            out += name + "{reason=\"" + std::string{to_string(static_cast<reason_code>(why))} +
-                   "\"} " + std::to_string(reasons_[event][why].load(std::memory_order_relaxed)) +
-                   "\n";
+        for (std::size_t reason = 1; reason < reason_count; ++reason) {
+            out += name + "{reason=\"" + std::string{to_string(static_cast<reason_code>(reason))} +
+                   "\"} " +
+                   std::to_string(reasons_[event][reason].load(std::memory_order_relaxed)) + "\n";
         }
     }
     const std::lock_guard lock{mutex_};
--- a/unittests/support/control_loop_test.cpp
+++ b/unittests/support/control_loop_test.cpp
@@ -8,7 +8,7 @@
 namespace chestnutstand {
 namespace {
 
-// Guards against timers that run in the order of posting instead of their due time.
+// Guards against timers that run in the order of posting instead of by due time.
 TEST(control_loop, runs_tasks_by_due_time)
 {
     std::vector<int> order;
--- a/unittests/support/log_limit_test.cpp
+++ b/unittests/support/log_limit_test.cpp
@@ -10,7 +10,7 @@
     return time_point{milliseconds{1'000'000 + ms}};
 }
 
-// Guards against a flood of one message that costs without bound or that hides the others.
+// Guards against a frequent message that is logged without limit or uses up the limit of others.
 TEST(log_limit, bounds_each_kind_by_itself)
 {
     log_limit limit{10.0, 5.0};
@@ -22,7 +22,7 @@
     EXPECT_TRUE(limit.admit("rare", at(0)));
 }
 
-// Guards against lines that are missing without a trace.
+// Guards against suppressing lines without reporting their number.
 TEST(log_limit, tells_how_many_lines_were_left_out)
 {
     log_limit limit{10.0, 1.0};
--- a/unittests/support/log_test.cpp
+++ b/unittests/support/log_test.cpp
@@ -11,26 +11,26 @@
 namespace chestnutstand {
 namespace {
 
-/// Puts a pipe in the place of standard output.
+/// Redirects standard output to a pipe during the test.
 class log_test : public testing::Test {
 protected:
     void SetUp() override
     {
         ASSERT_EQ(::pipe2(pipe_, O_CLOEXEC), 0);
-        output_ = ::dup(STDOUT_FILENO);
+        saved_stdout_ = ::dup(STDOUT_FILENO);
         ::dup2(pipe_[1], STDOUT_FILENO);
         init_logging(log_level::info);
     }
 
     void TearDown() override
     {
-        ::dup2(output_, STDOUT_FILENO);
-        for (const int each : {output_, pipe_[0], pipe_[1]}) {
-            ::close(each);
+        ::dup2(saved_stdout_, STDOUT_FILENO);
+        for (const int descriptor : {saved_stdout_, pipe_[0], pipe_[1]}) {
+            ::close(descriptor);
         }
     }
 
-    /// All lines that are in the pipe now.
+    /// Reads all lines that the pipe holds.
     std::vector<std::string> read_lines()
     {
         ::fcntl(pipe_[0], F_SETFL, O_NONBLOCK);
@@ -50,15 +50,15 @@
 
 private:
     int pipe_[2] = {-1, -1};
-    int output_ = -1;
+    int saved_stdout_ = -1;
 };
 
-// Guards against a process that stops because nobody reads its log, and against lines that are lost
-// without a count.
+// Guards against a process that blocks because nothing reads its log, and against dropping lines
+// without counting them.
 TEST_F(log_test, does_not_wait_for_a_reader)
 {
     const std::string filler(1'000, 'x');
-    // Each kind of message has a limit of its own, which a repeated test would reach.
+    // A new message for each run: the rate limit is per message, and repeated runs would reach it.
     static int run = 0;
     const std::string message = "test of a full pipe " + std::to_string(++run);
     constexpr int written = 300;
--- a/unittests/support/metrics_test.cpp
+++ b/unittests/support/metrics_test.cpp
@@ -8,10 +8,10 @@
 // Guards against a reason that is counted but missing from the metrics endpoint.
 TEST(metrics, renders_every_reason_and_histogram)
 {
-    metrics all;
-    all.count(reason_event::refused, reason_code::queue_full);
-    all.call_latency("ledger", "urgent").record(milliseconds{1.5});
-    const auto text = all.render();
+    metrics stats;
+    stats.count(reason_event::refused, reason_code::queue_full);
+    stats.call_latency("ledger", "urgent").record(milliseconds{1.5});
+    const auto text = stats.render();
     EXPECT_NE(text.find("chestnutstand_refusals_total{reason=\"queue_full\"} 1\n"),
               std::string::npos);
     EXPECT_NE(text.find("chestnutstand_retries_total{reason=\"queue_full\"} 0\n"),
--- a/unittests/support/name_table_test.cpp
+++ b/unittests/support/name_table_test.cpp
@@ -5,7 +5,7 @@
 namespace chestnutstand {
 namespace {
 
-// Guards against a reason added without a name, which would shift all later names.
+// Guards against adding a reason without its name, which would shift the names of all later ones.
 TEST(reason_names, are_unique_and_complete)
 {
     for (std::size_t i = 0; i < reason_count; ++i) {
--- a/unittests/support/token_bucket_test.cpp
+++ b/unittests/support/token_bucket_test.cpp
@@ -8,8 +8,8 @@
 namespace chestnutstand {
 namespace {
 
-// Guards against a bucket that gives out more than its rate and burst allow, whatever the pattern
-// of requests.
+// Guards against a bucket that hands out more tokens than its rate allows, for any pattern of
+// requests.
 TEST(token_bucket, never_exceeds_rate_and_burst)
 {
     EXPECT_TRUE(rc::check([] {
