--- a/unittests/platform/store_codec_test.cpp
+++ b/unittests/platform/store_codec_test.cpp
@@ -9,7 +9,7 @@
 namespace chestnutstand::platform {
 namespace {
 
-std::string offset(std::uint64_t value)
+std::string encode_offset(std::uint64_t value)
 {
     std::string out;
     for (int shift = 56; shift >= 0; shift -= 8) {
@@ -18,10 +18,10 @@
     return out;
 }
 
-// Guards against records that are split at the wrong place.
+// Guards against splitting records at wrong positions.
 TEST(store_codec, reads_what_it_writes)
 {
-    const std::string body = offset(9) + offset(2) + encode_record("config", "{}") +
+    const std::string body = encode_offset(9) + encode_offset(2) + encode_record("config", "{}") +
                              encode_record("", "") + encode_record("a", std::string(300, 'x'));
     const auto page = decode_records(body, 6);
     ASSERT_TRUE(page.ok()) << page.status();
@@ -33,11 +33,12 @@
     EXPECT_EQ(page->records[2].value.size(), 300U);
 }
 
-// Guards against a forged record that hides the ones behind it.
+// Guards against a forged record that makes the records after it unreadable.
 TEST(store_codec, skips_a_record_whose_key_does_not_fit)
 {
     const std::string forged{"\0\0\0\2\xffx", 6};
-    const auto page = decode_records(offset(2) + offset(0) + forged + encode_record("k", "v"), 0);
+    const auto page =
+        decode_records(encode_offset(2) + encode_offset(0) + forged + encode_record("k", "v"), 0);
     ASSERT_TRUE(page.ok()) << page.status();
     EXPECT_EQ(page->next, 2U);
     ASSERT_EQ(page->records.size(), 1U);
@@ -45,10 +46,10 @@
     EXPECT_EQ(page->records[0].offset, 1U);
 }
 
-// Guards against a cut answer that passes for a whole one.
+// Guards against accepting a truncated response as a complete one.
 TEST(store_codec, refuses_a_part_of_a_record)
 {
-    const std::string body = offset(1) + offset(0) + encode_record("key", "value");
+    const std::string body = encode_offset(1) + encode_offset(0) + encode_record("key", "value");
     for (std::size_t size = 0; size < body.size(); ++size) {
         const auto page = decode_records(body.substr(0, size), 0);
         EXPECT_TRUE(!page.ok() || page->records.empty()) << size;
@@ -61,7 +62,7 @@
     RC_ASSERT(bytes.size() >= 16 || !page.ok());
 }
 
-// Guards against one damaged item that hides the others.
+// Guards against losing all records because of one malformed item.
 TEST(store_codec, reads_the_newest_records_and_skips_damaged_items)
 {
     const std::string body = R"({"items": [
