--- a/tools/chestnutstand/admin_client.cpp
+++ b/tools/chestnutstand/admin_client.cpp
@@ -9,7 +9,7 @@
 namespace chestnutstand {
 namespace {
 
-/// Longer than a node waits for the verdict on a change.
+/// Longer than a node waits for the verdict on a published change.
 constexpr milliseconds admin_timeout{15'000};
 
 } // namespace
@@ -46,10 +46,11 @@
                                                     std::string_view target, std::string body)
 {
     http_request request{std::string{method}, std::string{target}, {}, std::move(body)};
-    auto ended = std::make_shared<std::promise<http_result>>();
-    http_->send(url_, std::move(request), admin_timeout,
-                [ended](http_result result) { ended->set_value(std::move(result)); });
-    auto result = ended->get_future().get();
+    auto response_promise = std::make_shared<std::promise<http_result>>();
+    http_->send(url_, std::move(request), admin_timeout, [response_promise](http_result result) {
+        response_promise->set_value(std::move(result));
+    });
+    auto result = response_promise->get_future().get();
     if (result.error == http_error::none) {
         return std::move(result.response);
     }
@@ -81,8 +82,8 @@
         return fail_with(response.status());
     }
     if (response->status / 100 != 2) {
-        return fail(exit_failed,
-                    str_cat("the node answered status ", response->status, ": ", response->body));
+        return fail(exit_failed, str_cat("the node responded with status ", response->status, ": ",
+                                         response->body));
     }
     std::cout << response->body;
     return exit_success;
--- a/tools/chestnutstand/admin_client.h
+++ b/tools/chestnutstand/admin_client.h
@@ -13,18 +13,19 @@
 
 namespace chestnutstand {
 
-/// Requests to the admin port of one node.
+/// Sends requests to the admin port of one node.
 class admin_client {
 public:
     admin_client() : http_{make_http_client()} {}
 
-    /// Options that name the node; to be added to a subcommand's own.
+    /// Options that select the node; a subcommand adds them to its own.
     std::vector<command_option> options();
 
-    /// Error when no node was named, or its settings file is invalid.
+    /// Determines the URL of the admin port. FailedPreconditionError when no option selects a node,
+    /// another error when the settings file is unreadable, invalid or has no fixed admin port.
     absl::Status resolve();
 
-    /// The node's response, whatever its status; unavailable when there is none.
+    /// Returns the node's response, whatever its status; UnavailableError when there is none.
     absl::StatusOr<http_response> request(std::string_view method, std::string_view target,
                                           std::string body = "");
 
@@ -37,7 +38,7 @@
 /// Resolves the node, sends one request and prints the body of a response with a 2xx status.
 int request_and_print(admin_client& admin, std::string_view method, std::string_view target);
 
-/// Exit status and message for an error of resolve() or request().
+/// Prints the error of resolve() or request() and returns the matching exit status.
 int fail_with(const absl::Status& status);
 
 } // namespace chestnutstand
--- a/tools/chestnutstand/check.cpp
+++ b/tools/chestnutstand/check.cpp
@@ -20,7 +20,7 @@
     return exit_success;
 }
 
-/// Each file is the content of one section; together they are checked as one document.
+/// Checks the files as one document; each file contains one section.
 int check_document(const std::vector<std::string>& files)
 {
     std::vector<section> sections;
@@ -31,12 +31,12 @@
         }
         sections.push_back({file, "", 1, *std::move(text)});
     }
-    const auto whole = parse_document(sections);
-    if (!whole.ok()) {
-        return fail_with(whole.status());
+    const auto document = parse_document(sections);
+    if (!document.ok()) {
+        return fail_with(document.status());
     }
     std::cout << "document is valid: " << sections.size() << " section(s), "
-              << whole->services.size() << " service(s)\n";
+              << document->services.size() << " service(s)\n";
     return exit_success;
 }
 
--- a/tools/chestnutstand/config.cpp
+++ b/tools/chestnutstand/config.cpp
@@ -30,8 +30,8 @@
 {
     std::uint64_t value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-    const bool whole = error == std::errc{} && end == text.data() + text.size();
-    return whole ? std::optional{value} : std::nullopt;
+    const bool is_number = error == std::errc{} && end == text.data() + text.size();
+    return is_number ? std::optional{value} : std::nullopt;
 }
 
 /// Publishes a change of one section, or shows the document.
@@ -44,14 +44,17 @@
     std::string_view arguments() const override { return "publish FILE | show"; }
     std::vector<command_option> options() override
     {
-        auto all = admin_.options();
-        all.push_back({"section", "NAME", "section to publish, or to show alone", &section_});
-        all.push_back({"team", "NAME", "publish: the author's team", &team_});
-        all.push_back({"base-version", "N",
-                       "publish: version of the section that was edited, 0 for a new one", &base_});
-        all.push_back({"change-id", "ID", "publish: id of an earlier attempt, to repeat it safely",
-                       &change_id_});
-        return all;
+        auto all_options = admin_.options();
+        all_options.push_back(
+            {"section", "NAME", "section to publish, or to show alone", &section_});
+        all_options.push_back({"team", "NAME", "publish: the author's team", &team_});
+        all_options.push_back({"base-version", "N",
+                               "publish: version of the section that was edited, 0 for a new one",
+                               &base_version_});
+        all_options.push_back({"change-id", "ID",
+                               "publish: id of an earlier attempt, to retry it safely",
+                               &change_id_});
+        return all_options;
     }
 
     int run(const std::vector<std::string>& arguments) override
@@ -74,7 +77,7 @@
     admin_client admin_;
     std::string section_;
     std::string team_;
-    std::string base_;
+    std::string base_version_;
     std::string change_id_;
 };
 
@@ -89,35 +92,36 @@
     }
     const json state = json::parse(response->body, nullptr, false);
     if (!state.is_object() || !state.contains("sections")) {
-        return fail(exit_failed, str_cat("the node answered status ", response->status));
+        return fail(exit_failed, str_cat("the node responded with status ", response->status));
     }
     return print_sections(state);
 }
 
-/// The header is a comment, so that the output for one section can be edited and published.
+/// The header of each section is a comment, so that the output for one section can be edited and
+/// published.
 int config_command::print_sections(const json& state) const
 {
     bool found = section_.empty();
     if (found) {
         std::cout << "// document version " << state.value("version", std::uint64_t{0}) << '\n';
     }
-    for (const auto& each : state["sections"]) {
-        if (!section_.empty() && each.value("section", "") != section_) {
+    for (const auto& section : state["sections"]) {
+        if (!section_.empty() && section.value("section", "") != section_) {
             continue;
         }
         found = true;
-        std::cout << "// section " << each.value("section", "") << ", version "
-                  << each.value("version", std::uint64_t{0}) << ", owner "
-                  << each.value("owner", "") << '\n'
-                  << each.value("content", "") << '\n';
+        std::cout << "// section " << section.value("section", "") << ", version "
+                  << section.value("version", std::uint64_t{0}) << ", owner "
+                  << section.value("owner", "") << '\n'
+                  << section.value("content", "") << '\n';
     }
     return found ? exit_success : fail(exit_failed, str_cat("no section named ", section_));
 }
 
 int config_command::publish(const std::string& file)
 {
-    const auto base = to_number(base_);
-    if (section_.empty() || team_.empty() || !base) {
+    const auto base_version = to_number(base_version_);
+    if (section_.empty() || team_.empty() || !base_version) {
         return fail(exit_usage, "expected --section NAME, --team NAME and --base-version N");
     }
     const auto content = read_file(file);
@@ -136,21 +140,21 @@
     return send({{"change_id", change_id_},
                  {"team", team_},
                  {"section", section_},
-                 {"base_version", *base},
+                 {"base_version", *base_version},
                  {"content", *content}});
 }
 
 int config_command::send(const json& change)
 {
-    const auto hint = str_cat("; repeat it with --change-id ", change_id_);
+    const auto retry_hint = str_cat("; retry with --change-id ", change_id_);
     const auto response = admin_.request("POST", "/config/changes", change.dump());
     if (!response.ok()) {
-        return fail(exit_failed, str_cat(std::string{response.status().message()}, hint));
+        return fail(exit_failed, str_cat(std::string{response.status().message()}, retry_hint));
     }
     const json verdict = json::parse(response->body, nullptr, false);
     if (!verdict.is_object() || !verdict.contains("accepted")) {
         const auto error = verdict.is_object() ? verdict.value("error", "") : response->body;
-        return fail(exit_failed, str_cat("no verdict: ", error, hint));
+        return fail(exit_failed, str_cat("no verdict on the change: ", error, retry_hint));
     }
     if (!verdict.value("accepted", false)) {
         return fail(exit_failed, str_cat("change rejected: ", verdict.value("explanation", "")));
--- a/tools/chestnutstand/main.cpp
+++ b/tools/chestnutstand/main.cpp
@@ -34,9 +34,9 @@
 {
     std::cout << "usage: chestnutstand SUBCOMMAND [OPTION]... [ARGUMENT]...\n\nsubcommands:\n";
     for (const auto& [name, make] : subcommand_registry::instance().factories()) {
-        std::string left = name;
-        left.resize(12, ' ');
-        std::cout << "  " << left << make()->summary() << '\n';
+        std::string name_column = name;
+        name_column.resize(12, ' ');
+        std::cout << "  " << name_column << make()->summary() << '\n';
     }
     std::cout << "\noptions:\n"
               << describe_options({})
--- a/tools/chestnutstand/node.cpp
+++ b/tools/chestnutstand/node.cpp
@@ -19,19 +19,20 @@
 namespace chestnutstand {
 namespace {
 
-/// How late a settings file that changes without a signal is noticed.
+/// Interval of checks for a change of the settings file that no signal announced.
 constexpr timespec settings_check_interval{2, 0};
 
-/// Changed keys that a running process does not follow.
-std::vector<std::string> fixed_keys(const settings_watch::change& change)
+/// Changed keys that take effect only after a restart.
+std::vector<std::string> restart_only_keys(const settings_watch::change& change)
 {
-    const auto& followed = reloadable_settings;
-    std::vector<std::string> fixed;
-    std::copy_if(change.keys.begin(), change.keys.end(), std::back_inserter(fixed),
+    const auto& reloadable = reloadable_settings;
+    std::vector<std::string> restart_only;
+    std::copy_if(change.keys.begin(), change.keys.end(), std::back_inserter(restart_only),
                  [&](const std::string& key) {
-                     return std::find(followed.begin(), followed.end(), key) == followed.end();
+                     return std::find(reloadable.begin(), reloadable.end(), key) ==
+                            reloadable.end();
                  });
-    return fixed;
+    return restart_only;
 }
 
 /// Blocks the stop signals in this thread and all threads that it starts later, so that only
@@ -44,19 +45,19 @@
     sigaddset(&signals, SIGINT);
     sigaddset(&signals, SIGHUP);
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
-    // A client that has gone must not stop the process.
+    // Writing to a connection that the client has closed must not end the process.
     std::signal(SIGPIPE, SIG_IGN);
     return signals;
 }
 
-/// Follows the settings file until a stop signal arrives.
+/// Reloads the settings file when it changes, until a stop signal arrives.
 void wait_for_stop(const sigset_t& signals, settings_watch& file, kernel& node)
 {
     int received = 0;
     do {
         received = sigtimedwait(&signals, nullptr, &settings_check_interval);
-        const bool told = received == SIGHUP;
-        if (received != -1 && !told) {
+        const bool is_sighup = received == SIGHUP;
+        if (received != -1 && !is_sighup) {
             return;
         }
         const auto change = file.look();
@@ -65,21 +66,21 @@
         }
         if (change) {
             log_event(log_level::info, "settings reloaded",
-                      {{"signal", told},
+                      {{"signal", is_sighup},
                        {"changed", absl::StrJoin(change->keys, " ")},
-                       {"after_restart", absl::StrJoin(fixed_keys(*change), " ")}});
+                       {"after_restart", absl::StrJoin(restart_only_keys(*change), " ")}});
         }
-        else if (told) {
+        else if (is_sighup) {
             log_event(log_level::info, "settings not changed");
         }
     } while (true);
 }
 
-int run_node(settings own_settings, settings_watch file)
+int run_node(settings node_settings, settings_watch file)
 {
     const sigset_t signals = block_stop_signals();
-    init_logging(own_settings.lowest_log_level);
-    kernel node{std::move(own_settings)};
+    init_logging(node_settings.lowest_log_level);
+    kernel node{std::move(node_settings)};
     const absl::Status started = node.start();
     if (!started.ok()) {
         log_event(log_level::error, "node could not start",
@@ -113,7 +114,7 @@
     int run(const std::vector<std::string>& arguments) override
     {
         if (!arguments.empty()) {
-            return fail(exit_usage, "node takes no arguments besides its options");
+            return fail(exit_usage, "expected no arguments besides options");
         }
         const auto text = read_file(settings_file_);
         if (!text.ok()) {
@@ -123,8 +124,8 @@
         if (!loaded.ok()) {
             return fail(exit_invalid_input, std::string{loaded.status().message()});
         }
-        // The static objects of the libraries wait for threads of their own when they are
-        // destroyed, which can take longer than the grace time.
+        // Skips the destructors of static objects: those of the libraries wait for their threads,
+        // which can take longer than the time allowed for a stop.
         std::quick_exit(run_node(*std::move(loaded), {settings_file_, *text}));
     }
 
--- a/tools/chestnutstand/node_control.cpp
+++ b/tools/chestnutstand/node_control.cpp
@@ -23,7 +23,7 @@
 public:
     std::string_view summary() const override
     {
-        return "make a node finish its work, leave and stop";
+        return "make a node finish its calls, leave the cluster and stop";
     }
     std::string_view arguments() const override { return ""; }
     std::vector<command_option> options() override { return admin_.options(); }
--- a/tools/chestnutstand/option_parser.cpp
+++ b/tools/chestnutstand/option_parser.cpp
@@ -9,27 +9,27 @@
 namespace chestnutstand {
 namespace {
 
-enum short_code : int { help_code = 1, version_code, first_option_code };
+enum option_code : int { help_code = 1, version_code, first_option_code };
 
 std::vector<option> to_getopt(const std::vector<command_option>& options)
 {
     std::vector<option> table{{"help", no_argument, nullptr, help_code},
                               {"version", no_argument, nullptr, version_code}};
     int code = first_option_code;
-    for (const auto& each : options) {
-        table.push_back({each.name.c_str(), each.argument.empty() ? no_argument : required_argument,
-                         nullptr, code});
+    for (const auto& option : options) {
+        table.push_back({option.name.c_str(),
+                         option.argument.empty() ? no_argument : required_argument, nullptr, code});
         ++code;
     }
     table.push_back({nullptr, 0, nullptr, 0});
     return table;
 }
 
-std::string option_line(std::string left, std::string_view help)
+std::string option_line(std::string usage, std::string_view help)
 {
     constexpr std::size_t help_column = 30;
-    left.resize(std::max(help_column, left.size() + 1), ' ');
-    return str_cat("  ", left, help, "\n");
+    usage.resize(std::max(help_column, usage.size() + 1), ' ');
+    return str_cat("  ", usage, help, "\n");
 }
 
 } // namespace
@@ -37,17 +37,18 @@
 absl::StatusOr<parsed_arguments> parse_options(const std::vector<std::string>& arguments,
                                                const std::vector<command_option>& options)
 {
-    auto copies = arguments;
+    auto argument_copies = arguments;
     std::string program = "chestnutstand";
     std::vector<char*> argv{program.data()};
-    for (auto& each : copies) {
-        argv.push_back(each.data());
+    for (auto& argument : argument_copies) {
+        argv.push_back(argument.data());
     }
     argv.push_back(nullptr);
     const auto table = to_getopt(options);
     const int argc = static_cast<int>(argv.size()) - 1;
     parsed_arguments result;
-    // Zero makes getopt_long start afresh; the leading ':' makes it report missing values.
+    // Setting optind to 0 resets getopt_long. The leading ':' makes it return ':' for a missing
+    // value.
     optind = 0;
     opterr = 0;
     for (;;) {
@@ -72,10 +73,10 @@
 
 absl::Status check_required(const std::vector<command_option>& options)
 {
-    for (const auto& each : options) {
-        if (each.required && each.value->empty()) {
+    for (const auto& option : options) {
+        if (option.required && option.value->empty()) {
             return absl::InvalidArgumentError(
-                str_cat("missing option: --", each.name, " ", each.argument));
+                str_cat("missing option: --", option.name, " ", option.argument));
         }
     }
     return absl::OkStatus();
@@ -84,10 +85,10 @@
 std::string describe_options(const std::vector<command_option>& options)
 {
     std::string text;
-    for (const auto& each : options) {
-        text +=
-            option_line(str_cat("--", each.name, each.argument.empty() ? "" : " ", each.argument),
-                        str_cat(each.help, each.required ? " (required)" : ""));
+    for (const auto& option : options) {
+        text += option_line(
+            str_cat("--", option.name, option.argument.empty() ? "" : " ", option.argument),
+            str_cat(option.help, option.required ? " (required)" : ""));
     }
     text += option_line("--help", "print this text");
     return text + option_line("--version", "print the version");
--- a/tools/chestnutstand/subcommand.h
+++ b/tools/chestnutstand/subcommand.h
@@ -8,7 +8,7 @@
 
 namespace chestnutstand {
 
-/// Exit statuses of the program.
+/// Exit status of the program.
 enum exit_status : int {
     exit_success = 0,
     exit_failed = 1,
@@ -16,7 +16,7 @@
     exit_invalid_input = 3,
 };
 
-/// An option --name of a subcommand.
+/// A command line option of a subcommand; the name is without the leading dashes.
 struct command_option {
     std::string name;
     /// Placeholder of the value in the help text; empty for an option without a value.
@@ -27,8 +27,8 @@
     bool required = false;
 };
 
-/// One of the program's subcommands. A file-local registration<Implementation, subcommand> with the
-/// subcommand's name makes it available.
+/// A subcommand of the program. A file-local registration<Implementation, subcommand> registers it
+/// under its name.
 class subcommand {
 public:
     subcommand() = default;
@@ -36,16 +36,16 @@
     subcommand& operator=(const subcommand&) = delete;
     virtual ~subcommand() = default;
 
-    /// One line for the help texts.
+    /// One-line description for the help texts.
     virtual std::string_view summary() const = 0;
 
-    /// Arguments that are not options, for the usage line; may be empty.
+    /// Positional arguments for the usage line; may be empty.
     virtual std::string_view arguments() const = 0;
 
-    /// Options besides --help and --version; their values are set before run().
+    /// Options other than --help and --version. Their values are set before run().
     virtual std::vector<command_option> options() = 0;
 
-    /// Runs with the arguments that are not options; returns the exit status.
+    /// Runs the subcommand with the positional arguments; returns the exit status.
     virtual int run(const std::vector<std::string>& arguments) = 0;
 };
 
--- a/tools/chestnutstand/trace.cpp
+++ b/tools/chestnutstand/trace.cpp
@@ -12,17 +12,17 @@
 namespace chestnutstand {
 namespace {
 
-/// One line of a log about the request.
+/// A log line about the traced request.
 struct traced_line {
     std::int64_t time_ms = 0;
     std::string source;
     nlohmann::ordered_json fields;
 };
 
-/// Collects the lines with the id. Text before the JSON object, such as the prefix of a log
-/// collector, is kept as the source of the line.
+/// Appends the lines with this request id to matches. Text before the JSON object, such as the
+/// prefix of a log collector, becomes the source of the line; without it, the file does.
 void collect(std::istream& log, const std::string& file, const std::string& id,
-             std::vector<traced_line>& found)
+             std::vector<traced_line>& matches)
 {
     for (std::string line; std::getline(log, line);) {
         const auto start = line.find('{');
@@ -34,8 +34,8 @@
             continue;
         }
         const std::string prefix = line.substr(0, start);
-        found.push_back({fields.value("time_ms", std::int64_t{0}), prefix.empty() ? file : prefix,
-                         std::move(fields)});
+        matches.push_back({fields.value("time_ms", std::int64_t{0}), prefix.empty() ? file : prefix,
+                           std::move(fields)});
     }
 }
 
@@ -54,7 +54,7 @@
 public:
     std::string_view summary() const override
     {
-        return "print what the logs of several nodes say about one request, in order of time";
+        return "print the log lines of several nodes about one request, in order of time";
     }
     std::string_view arguments() const override { return "REQUEST_ID FILE..."; }
     std::vector<command_option> options() override { return {}; }
@@ -64,22 +64,22 @@
         if (arguments.size() < 2) {
             return fail(exit_usage, "expected trace REQUEST_ID FILE...");
         }
-        std::vector<traced_line> found;
+        std::vector<traced_line> matches;
         for (std::size_t i = 1; i < arguments.size(); ++i) {
             std::ifstream log{arguments[i]};
             if (!log) {
                 return fail(exit_failed, arguments[i] + ": expected a readable file");
             }
-            collect(log, arguments[i], arguments[0], found);
+            collect(log, arguments[i], arguments[0], matches);
         }
-        if (found.empty()) {
-            return fail(exit_failed, "no line about request " + arguments[0]);
+        if (matches.empty()) {
+            return fail(exit_failed, "no log line about request " + arguments[0]);
         }
-        std::stable_sort(found.begin(), found.end(), [](const auto& left, const auto& right) {
+        std::stable_sort(matches.begin(), matches.end(), [](const auto& left, const auto& right) {
             return left.time_ms < right.time_ms;
         });
-        for (const auto& line : found) {
-            print(line, found.front().time_ms);
+        for (const auto& line : matches) {
+            print(line, matches.front().time_ms);
         }
         return exit_success;
     }
