--- a/cmake/chestnutstand.cmake
+++ b/cmake/chestnutstand.cmake
@@ -1,12 +1,13 @@
 include(GoogleTest)
 
-# Compiler flags shared by all code written here; generated code is built without them.
+# Compiler flags for hand-written code; generated code is built without them.
 add_library(chestnutstand_options INTERFACE)
 target_compile_options(chestnutstand_options INTERFACE -Wall -Wextra -Wpedantic -Werror)
 target_include_directories(chestnutstand_options INTERFACE ${CMAKE_SOURCE_DIR}/include)
 
 # chestnutstand_add_module(NAME sources... [DEPENDS targets...])
-# Modules are object libraries, because a linker drops self-registering objects from archives.
+# Modules are object libraries: from a static archive, the linker would drop the object files of
+# self-registering classes, because no symbol of theirs is referenced.
 function(chestnutstand_add_module name)
   cmake_parse_arguments(ARG "" "" "DEPENDS" ${ARGN})
   add_library(cs_${name} OBJECT ${ARG_UNPARSED_ARGUMENTS})
@@ -23,6 +24,7 @@
                        PROPERTIES ENVIRONMENT "RC_PARAMS=seed=20261204" TIMEOUT 300)
 endfunction()
 
-# Everything that a node consists of; objects of object libraries are not linked transitively.
+# All modules of a node. They are listed because CMake does not link objects of object libraries
+# transitively.
 set(CHESTNUTSTAND_NODE_MODULES cs_platform cs_node cs_dispatch cs_admission cs_keys cs_config cs_membership
                                cs_routing cs_transport cs_support cs_proto)
