--- a/include/chestnutstand/node/upstream_exchange.h
+++ b/include/chestnutstand/node/upstream_exchange.h
@@ -17,7 +17,7 @@
 milliseconds upstream_timeout(const service_call& call, time_point now);
 
 /// What the upstream's response, or the lack of one, says about the call.
-call_result judge_upstream_response(const service_call& call, http_result result,
-                                    const header_names& names);
+call_result classify_upstream_response(const service_call& call, http_result result,
+                                       const header_names& names);
 
 } // namespace chestnutstand
--- a/lib/node/executor.cpp
+++ b/lib/node/executor.cpp
@@ -418,7 +418,7 @@
     const auto now = ms_clock::now();
     const auto sample = make_sample(result, names_);
     observe_pace(result, now);
-    call_result ended = judge_upstream_response(what->call, std::move(result), names_);
+    call_result ended = classify_upstream_response(what->call, std::move(result), names_);
     follow_up next;
     {
         const std::lock_guard lock{mutex_};
--- a/lib/node/upstream_exchange.cpp
+++ b/lib/node/upstream_exchange.cpp
@@ -97,8 +97,8 @@
     return call.idempotency_key.empty() ? left : std::max(left, keyed_run_limit);
 }
 
-call_result judge_upstream_response(const service_call& call, http_result result,
-                                    const header_names& names)
+call_result classify_upstream_response(const service_call& call, http_result result,
+                                       const header_names& names)
 {
     if (result.error == http_error::connect_failed) {
         return not_run(reason_code::upstream_unreachable);
--- a/unittests/node/routed_call_test.cpp
+++ b/unittests/node/routed_call_test.cpp
@@ -66,7 +66,7 @@
         headers.push_back({"request-id", call.request_id});
         http_result result;
         result.response = {status, std::move(headers), "answer"};
-        return judge_upstream_response(call, std::move(result), names_);
+        return classify_upstream_response(call, std::move(result), names_);
     }
 
     document document_ = make_document();
@@ -129,7 +129,7 @@
     other.request_id = "r2";
     http_result crossed;
     crossed.response = {200, {{"Request-Id", "r1"}}, "answer"};
-    EXPECT_EQ(judge_upstream_response(other, crossed, names_).outcome, call_outcome::unknown);
+    EXPECT_EQ(classify_upstream_response(other, crossed, names_).outcome, call_outcome::unknown);
 }
 
 // Guards against answers without a length that are dropped, and against cut ones that pass for
@@ -140,9 +140,9 @@
     http_result ended;
     ended.error = http_error::unframed;
     ended.response = {200, {{"Request-Id", "r1"}}, "answer"};
-    EXPECT_EQ(judge_upstream_response(call, ended, names_).outcome, call_outcome::completed);
+    EXPECT_EQ(classify_upstream_response(call, ended, names_).outcome, call_outcome::completed);
     ended.error = http_error::truncated;
-    EXPECT_EQ(judge_upstream_response(call, ended, names_).outcome, call_outcome::unknown);
+    EXPECT_EQ(classify_upstream_response(call, ended, names_).outcome, call_outcome::unknown);
 }
 
 // Guards against a promise that nothing has run while it may have.
