--- a/include/chestnutstand/membership/swim.h
+++ b/include/chestnutstand/membership/swim.h
@@ -29,7 +29,7 @@
     milliseconds dead_retry{10'000};
     /// A table that has not changed for this long is compared with those of peers. Updates reach
     /// 7,400 members well within it.
-    milliseconds digest_quiet{10'000};
+    milliseconds digest_stable_after{10'000};
     /// Pause between checks of doubtful claims by a ping to the member concerned.
     milliseconds verify_interval{200};
     milliseconds sync_interval{5'000};
