--- a/include/chestnutstand/membership/swim.h
+++ b/include/chestnutstand/membership/swim.h
@@ -189,7 +189,7 @@
 
     // Digests.
     std::uint64_t digest() const { return table_.digest() ^ member_table::digest_of(self_); }
-    std::uint64_t quiet_digest() const;
+    std::uint64_t stable_digest() const;
     std::vector<std::uint64_t> bucket_digests(std::size_t count) const;
     void request_sync(const node_reference& peer, time_point now);
 
--- a/lib/membership/swim.cpp
+++ b/lib/membership/swim.cpp
@@ -351,7 +351,7 @@
     message.sender = self_;
     message.cluster = options_.cluster;
     message.config_next_offset = config_next_offset_;
-    message.table_digest = quiet_digest();
+    message.table_digest = stable_digest();
     add_updates(message, to_instance);
     output_.datagrams.push_back({address, port, encode(message)});
 }
--- a/lib/membership/swim_sync.cpp
+++ b/lib/membership/swim_sync.cpp
@@ -24,14 +24,14 @@
 
 } // namespace
 
-std::uint64_t swim::quiet_digest() const
+std::uint64_t swim::stable_digest() const
 {
     return last_seen_ - table_changed_ >= options_.digest_stable_after ? digest() : 0;
 }
 
 void swim::compare_digests(const gossip_message& message, time_point now)
 {
-    const std::uint64_t own = quiet_digest();
+    const std::uint64_t own = stable_digest();
     if (own != 0 && message.table_digest != 0 && own != message.table_digest) {
         request_sync(message.sender.node, now);
     }
