--- a/include/chestnutstand/membership/swim.h
+++ b/include/chestnutstand/membership/swim.h
@@ -48,7 +48,7 @@
     /// While more updates than this wait to be passed on, as after a start of many members, each is
     /// sent only a few times to other data centres, unless it is urgent: their members pass it on
     /// among themselves, and bytes between data centres cost most.
-    std::size_t mass_news = 16;
+    std::size_t update_backlog_threshold = 16;
     std::size_t remote_transmissions = 3;
 };
 
--- a/lib/membership/swim.cpp
+++ b/lib/membership/swim.cpp
@@ -367,7 +367,7 @@
         message.updates.push_back(*receiver);
     }
     const bool remote = receiver != nullptr && receiver->data_centre != self_.data_centre;
-    const bool many = queue_.size() > options_.mass_news;
+    const bool many = queue_.size() > options_.update_backlog_threshold;
     const std::size_t recent = remote && many ? options_.remote_transmissions : transmit_limit();
     queue_.take(transmit_limit(), max_updates_per_packet, recent, [&](std::uint64_t instance) {
         const member* update = table_.find(instance);
