--- a/include/chestnutstand/membership/swim.h
+++ b/include/chestnutstand/membership/swim.h
@@ -26,7 +26,7 @@
     /// A suspect that has not refuted for this long gets no calls.
     milliseconds unroutable_after{1'500};
     milliseconds dead_retention{3'600'000};
-    milliseconds dead_retry{10'000};
+    milliseconds dead_retry_interval{10'000};
     /// A table that has not changed for this long is compared with those of peers. Updates reach
     /// 7,400 members well within it.
     milliseconds digest_stable_after{10'000};
--- a/lib/membership/swim_timers.cpp
+++ b/lib/membership/swim_timers.cpp
@@ -176,7 +176,7 @@
     if (now < next_dead_retry_) {
         return;
     }
-    next_dead_retry_ = now + options_.dead_retry;
+    next_dead_retry_ = now + options_.dead_retry_interval;
     if (const member* dead = table_.random_dead(random_)) {
         ping(*dead, ++last_sequence_);
     }
