--- a/include/chestnutstand/membership/swim.h
+++ b/include/chestnutstand/membership/swim.h
@@ -69,7 +69,7 @@
 struct swim_output {
     std::vector<datagram> datagrams;
     /// Peers to start a push-pull exchange with.
-    std::vector<node_reference> syncs;
+    std::vector<node_reference> sync_peers;
     std::vector<config_hint> config_hints;
     /// Senders in other clusters whose messages were dropped.
     std::vector<node_reference> foreign_senders;
--- a/lib/membership/membership.cpp
+++ b/lib/membership/membership.cpp
@@ -82,7 +82,7 @@
     for (const datagram& out : output.datagrams) {
         transport_->send(out);
     }
-    for (const node_reference& peer : output.syncs) {
+    for (const node_reference& peer : output.sync_peers) {
         start_sync(peer);
     }
     publish_due_ = publish_due_ || output.members_changed;
--- a/lib/membership/swim_sync.cpp
+++ b/lib/membership/swim_sync.cpp
@@ -43,7 +43,7 @@
         return;
     }
     next_sync_ = now + options_.sync_interval;
-    output_.syncs.push_back(peer);
+    output_.sync_peers.push_back(peer);
 }
 
 std::vector<std::uint64_t> swim::bucket_digests(std::size_t count) const
--- a/lib/membership/swim_timers.cpp
+++ b/lib/membership/swim_timers.cpp
@@ -51,7 +51,7 @@
     announce_self(true);
     output_.resumed = true;
     for (const member* peer : table_.random_live(1, self_.node.instance, random_)) {
-        output_.syncs.push_back(peer->node);
+        output_.sync_peers.push_back(peer->node);
     }
 }
 
--- a/unittests/membership/gossip_network.cpp
+++ b/unittests/membership/gossip_network.cpp
@@ -160,7 +160,7 @@
     for (const datagram& out : output.datagrams) {
         send(slot, out);
     }
-    for (const node_reference& peer : output.syncs) {
+    for (const node_reference& peer : output.sync_peers) {
         sync(slot, slot_of(peer.node_port));
     }
 }
