--- a/include/chestnutstand/membership/swim.h
+++ b/include/chestnutstand/membership/swim.h
@@ -157,7 +157,7 @@
     void apply_to_self(const member& incoming);
     void adopt(const member& incoming, claim_source source, time_point now);
     void declare(std::uint64_t instance, liveness state, time_point now);
-    void displace_at_address_of(const member& sender, time_point now);
+    void declare_replaced_members_dead(const member& sender, time_point now);
     void announce_self(bool urgent);
     void queue_update(std::uint64_t instance, bool urgent);
     void verify_later(const member& claim);
--- a/lib/membership/swim.cpp
+++ b/lib/membership/swim.cpp
@@ -54,7 +54,7 @@
     const bool is_new = table_.find(message->sender.node.instance) == nullptr;
     apply(message->sender, claim_source::direct, now);
     if (is_new) {
-        displace_at_address_of(message->sender, now);
+        declare_replaced_members_dead(message->sender, now);
     }
     for (const member& update : message->updates) {
         apply(update, claim_source::gossip, now);
@@ -101,7 +101,7 @@
     }
     else if (message.target_instance != 0 && message.target_instance != sender) {
         // Another process answers at the address of the member that was pinged.
-        displace_at_address_of(message.sender, now);
+        declare_replaced_members_dead(message.sender, now);
     }
     const auto found = relays_.find(message.sequence);
     if (found == relays_.end() || found->second.target != sender) {
@@ -219,7 +219,7 @@
     adopt(changed, claim_source::gossip, now);
 }
 
-void swim::displace_at_address_of(const member& sender, time_point now)
+void swim::declare_replaced_members_dead(const member& sender, time_point now)
 {
     const member* current = table_.find(sender.node.instance);
     if (current == nullptr || !is_live(*current)) {
