--- a/include/chestnutstand/membership/swim.h
+++ b/include/chestnutstand/membership/swim.h
@@ -175,7 +175,7 @@
     std::size_t transmit_limit() const;
 
     // Timers.
-    void note_time(time_point now);
+    void detect_pause(time_point now);
     void shift_deadlines(milliseconds gap);
     void start_period(time_point now);
     void start_probe(std::uint64_t target, time_point now);
--- a/lib/membership/swim.cpp
+++ b/lib/membership/swim.cpp
@@ -49,7 +49,7 @@
         output_.foreign_senders.push_back(message->sender.node);
         return;
     }
-    note_time(now);
+    detect_pause(now);
     last_heard_ = now;
     const bool is_new = table_.find(message->sender.node.instance) == nullptr;
     apply(message->sender, claim_source::direct, now);
--- a/lib/membership/swim_timers.cpp
+++ b/lib/membership/swim_timers.cpp
@@ -20,7 +20,7 @@
     if (self_.state == liveness::left) {
         return;
     }
-    note_time(now);
+    detect_pause(now);
     advance_probes(now);
     expire_suspicions(now);
     std::erase_if(relays_, [&](const auto& item) { return item.second.deadline <= now; });
@@ -37,7 +37,7 @@
 }
 
 /// Time in which this node did not run says nothing about other members: deadlines move by it.
-void swim::note_time(time_point now)
+void swim::detect_pause(time_point now)
 {
     const milliseconds gap = now - std::exchange(last_seen_, std::max(now, last_seen_));
     if (gap <= tolerated_gap) {
