--- a/include/chestnutstand/membership/swim.h
+++ b/include/chestnutstand/membership/swim.h
@@ -210,7 +210,7 @@
     std::vector<std::uint64_t> verify_order_;
     std::uint64_t last_sequence_ = 0;
     std::uint64_t config_next_offset_ = 0;
-    time_point last_seen_;
+    time_point last_run_;
     time_point last_heard_;
     time_point table_changed_;
     time_point next_probe_;
--- a/lib/membership/swim.cpp
+++ b/lib/membership/swim.cpp
@@ -30,7 +30,7 @@
 } // namespace
 
 swim::swim(member self, const swim_options& options, std::uint64_t random_seed, time_point now)
-    : self_{std::move(self)}, options_{options}, random_{random_seed}, last_seen_{now},
+    : self_{std::move(self)}, options_{options}, random_{random_seed}, last_run_{now},
       last_heard_{now}, table_changed_{now}, next_probe_{now + options.probe_period},
       next_dead_retry_{now + options.dead_retry_interval}, next_verify_{now}, next_sync_{now},
       next_purge_{now}, push_refilled_{now}, push_budget_bytes_{options.push_burst_bytes}
--- a/lib/membership/swim_sync.cpp
+++ b/lib/membership/swim_sync.cpp
@@ -26,7 +26,7 @@
 
 std::uint64_t swim::stable_digest() const
 {
-    return last_seen_ - table_changed_ >= options_.digest_stable_after ? digest() : 0;
+    return last_run_ - table_changed_ >= options_.digest_stable_after ? digest() : 0;
 }
 
 void swim::compare_digests(const gossip_message& message, time_point now)
--- a/lib/membership/swim_timers.cpp
+++ b/lib/membership/swim_timers.cpp
@@ -39,7 +39,7 @@
 /// Time in which this node did not run says nothing about other members: deadlines move by it.
 void swim::detect_pause(time_point now)
 {
-    const milliseconds gap = now - std::exchange(last_seen_, std::max(now, last_seen_));
+    const milliseconds gap = now - std::exchange(last_run_, std::max(now, last_run_));
     if (gap <= tolerated_gap) {
         return;
     }
