--- a/include/chestnutstand/membership/swim.h
+++ b/include/chestnutstand/membership/swim.h
@@ -177,7 +177,7 @@
     // Timers.
     void detect_pause(time_point now);
     void shift_deadlines(milliseconds gap);
-    void start_period(time_point now);
+    void start_probe_period(time_point now);
     void start_probe(std::uint64_t target, time_point now);
     std::uint64_t next_probe_target();
     void advance_probes(time_point now);
--- a/lib/membership/swim_timers.cpp
+++ b/lib/membership/swim_timers.cpp
@@ -25,7 +25,7 @@
     expire_suspicions(now);
     std::erase_if(relays_, [&](const auto& item) { return item.second.deadline <= now; });
     if (now >= next_probe_) {
-        start_period(now);
+        start_probe_period(now);
     }
     retry_dead(now);
     verify_next(now);
@@ -67,7 +67,7 @@
     }
 }
 
-void swim::start_period(time_point now)
+void swim::start_probe_period(time_point now)
 {
     std::uniform_real_distribution<double> jitter{1.0 - options_.probe_jitter,
                                                   1.0 + options_.probe_jitter};
