--- a/include/chestnutstand/membership/swim.h
+++ b/include/chestnutstand/membership/swim.h
@@ -181,7 +181,7 @@
     void start_probe(std::uint64_t target, time_point now);
     std::uint64_t next_probe_target();
     void advance_probes(time_point now);
-    void request_indirect(probe& running);
+    void request_indirect_probes(probe& running);
     void expire_suspicions(time_point now);
     void retry_dead(time_point now);
     void verify_next(time_point now);
--- a/lib/membership/swim_timers.cpp
+++ b/lib/membership/swim_timers.cpp
@@ -122,7 +122,7 @@
             failed.push_back(running.target);
         }
         else if (!running.indirect && now >= running.direct_deadline) {
-            request_indirect(running);
+            request_indirect_probes(running);
         }
     }
     std::erase_if(probes_, [&](const probe& running) { return now >= running.deadline; });
@@ -136,7 +136,7 @@
     }
 }
 
-void swim::request_indirect(probe& running)
+void swim::request_indirect_probes(probe& running)
 {
     running.indirect = true;
     const member* target = table_.find(running.target);
