--- a/include/chestnutstand/membership/keyed_directory.h
+++ b/include/chestnutstand/membership/keyed_directory.h
@@ -18,7 +18,7 @@
     void refresh(done finished) override;
     void append(const member& self, done finished) override;
     void purge(time_point now, milliseconds retention) override;
-    std::optional<std::size_t> enough_records() const override;
+    std::optional<std::size_t> sufficient_record_count() const override;
 
 private:
     void take(const keyed_page& page);
--- a/include/chestnutstand/membership/member_directory.h
+++ b/include/chestnutstand/membership/member_directory.h
@@ -40,7 +40,7 @@
 
     /// Fresh records per data centre with which a node need not add its own; nothing when every
     /// node adds one.
-    virtual std::optional<std::size_t> enough_records() const = 0;
+    virtual std::optional<std::size_t> sufficient_record_count() const = 0;
 
 protected:
     std::unordered_map<std::uint64_t, record> records_;
--- a/lib/membership/join_log.cpp
+++ b/lib/membership/join_log.cpp
@@ -88,7 +88,7 @@
                   [&](const auto& item) { return now - item.second.appended > retention; });
 }
 
-std::optional<std::size_t> join_log::enough_records() const
+std::optional<std::size_t> join_log::sufficient_record_count() const
 {
     return enough_fresh_records;
 }
--- a/lib/membership/keyed_directory.cpp
+++ b/lib/membership/keyed_directory.cpp
@@ -51,7 +51,7 @@
 // The store keeps the newest record of each key, whatever its age.
 void keyed_directory::purge(time_point /*now*/, milliseconds /*retention*/) {}
 
-std::optional<std::size_t> keyed_directory::enough_records() const
+std::optional<std::size_t> keyed_directory::sufficient_record_count() const
 {
     return std::nullopt;
 }
--- a/lib/membership/membership_join.cpp
+++ b/lib/membership/membership_join.cpp
@@ -43,7 +43,7 @@
         schedule_join_round();
         return;
     }
-    if (record_settled_ || directory_->enough_records()) {
+    if (record_settled_ || directory_->sufficient_record_count()) {
         read_directory();
         return;
     }
@@ -150,7 +150,7 @@
 
 void membership::impl::append_when_needed(time_point now)
 {
-    const auto enough = directory_->enough_records();
+    const auto enough = directory_->sufficient_record_count();
     if (record_settled_ || !enough || now < append_from_) {
         return;
     }
