--- a/lib/membership/membership_impl.h
+++ b/lib/membership/membership_impl.h
@@ -12,7 +12,7 @@
 namespace chestnutstand {
 
 /// First pause between two looks at the member directory.
-inline constexpr milliseconds first_join_interval{250};
+inline constexpr milliseconds initial_join_interval{250};
 
 /// State and work of one membership object, kept alive by its own callbacks. Runs on the control
 /// thread.
@@ -81,7 +81,7 @@
     bool synced_ = false;
     bool sync_running_ = false;
     bool directory_reachable_ = true;
-    milliseconds join_interval_ = first_join_interval;
+    milliseconds join_interval_ = initial_join_interval;
     time_point append_from_;
     /// Set while this node renews the records of its data centre.
     bool refreshing_ = false;
--- a/lib/membership/membership_join.cpp
+++ b/lib/membership/membership_join.cpp
@@ -86,7 +86,7 @@
     const bool was_settled = settled();
     milliseconds delay = join_interval_;
     if (was_settled) {
-        join_interval_ = first_join_interval;
+        join_interval_ = initial_join_interval;
         std::uniform_real_distribution<double> jitter{0.9, 1.1};
         delay = refresh_interval * jitter(random_);
     }
