--- a/lib/membership/membership_impl.h
+++ b/lib/membership/membership_impl.h
@@ -62,7 +62,7 @@
     // Joining.
     void join_round();
     void read_directory();
-    bool settled() const { return synced_ && record_settled_ && read_after_settled_; }
+    bool settled() const { return synced_ && append_complete_ && read_after_settled_; }
     void schedule_join_round();
     void end_join_pause(bool was_settled);
     void on_join_records(const absl::Status& status);
@@ -86,7 +86,7 @@
     /// Set while this node renews the records of its data centre.
     bool refreshing_ = false;
     /// Whether the own join record exists or is not needed.
-    bool record_settled_ = false;
+    bool append_complete_ = false;
     /// Whether the stream was read after that; a node that started at the same time shows up then.
     bool read_after_settled_ = false;
     std::atomic<std::uint64_t> sync_bytes_sent_{0};
--- a/lib/membership/membership_join.cpp
+++ b/lib/membership/membership_join.cpp
@@ -38,18 +38,18 @@
         start_sync(protocol_->table().random_live(1, 0, random_).front()->node);
     }
     flush();
-    if (!live.empty() && record_settled_ && read_after_settled_) {
+    if (!live.empty() && append_complete_ && read_after_settled_) {
         // Only the exchange with a peer is missing.
         schedule_join_round();
         return;
     }
-    if (record_settled_ || directory_->sufficient_record_count()) {
+    if (append_complete_ || directory_->sufficient_record_count()) {
         read_directory();
         return;
     }
     // Of two nodes that start together, the one that adds its record later reads both.
     directory_->append(options_.self, guarded([](impl& self, const absl::Status& status) {
-                           self.record_settled_ = self.record_settled_ || status.ok();
+                           self.append_complete_ = self.append_complete_ || status.ok();
                            self.refreshing_ = self.refreshing_ && !status.ok();
                            self.read_directory();
                        }));
@@ -75,7 +75,7 @@
         directory_->purge(now, record_freshness * 6);
         contact_recorded(protocol_->table().live().empty() ? contacts_per_round
                                                            : contacts_per_refresh);
-        read_after_settled_ = record_settled_;
+        read_after_settled_ = append_complete_;
         append_when_needed(now);
     }
     schedule_join_round();
@@ -108,7 +108,7 @@
         return;
     }
     if (!alone && was_settled) {
-        record_settled_ = false;
+        append_complete_ = false;
         refreshing_ = true;
     }
     join_round();
@@ -151,15 +151,15 @@
 void membership::impl::append_when_needed(time_point now)
 {
     const auto enough = directory_->sufficient_record_count();
-    if (record_settled_ || !enough || now < append_from_) {
+    if (append_complete_ || !enough || now < append_from_) {
         return;
     }
     if (!refreshing_ && fresh_records(now) >= *enough) {
-        record_settled_ = true;
+        append_complete_ = true;
         return;
     }
     directory_->append(options_.self, guarded([](impl& self, const absl::Status& status) {
-                           self.record_settled_ = self.record_settled_ || status.ok();
+                           self.append_complete_ = self.append_complete_ || status.ok();
                            self.refreshing_ = self.refreshing_ && !status.ok();
                        }));
 }
