--- a/include/chestnutstand/admission/upstream_pace.h
+++ b/include/chestnutstand/admission/upstream_pace.h
@@ -14,7 +14,7 @@
 ///
 /// The upstream reports a factor with its responses. It is compared with the lowest one of the last
 /// seconds: a VM that is always slow is a matter of its measured latency. Pure.
-class upstream_pace {
+class upstream_slowdown {
 public:
     /// Takes a reported factor, 1 for the usual time.
     void observe(double factor, time_point now);
--- a/include/chestnutstand/node/executor.h
+++ b/include/chestnutstand/node/executor.h
@@ -154,7 +154,7 @@
     std::unordered_map<std::uint64_t, execution_ptr> executions_;
     std::uint64_t last_id_ = 0;
     attempt_ledger attempts_;
-    upstream_pace pace_;
+    upstream_slowdown pace_;
     bool probing_pace_ = false;
     /// Calls that wait until the upstream has told its pace.
     std::vector<waiting_call> waiting_for_pace_;
--- a/lib/admission/upstream_pace.cpp
+++ b/lib/admission/upstream_pace.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-void upstream_pace::observe(double factor, time_point now)
+void upstream_slowdown::observe(double factor, time_point now)
 {
     factor = std::max(factor, lowest_factor);
     if (!observed_at_) {
@@ -36,12 +36,12 @@
     observed_at_ = now;
 }
 
-double upstream_pace::usual() const
+double upstream_slowdown::usual() const
 {
     return std::min(lowest_, previous_lowest_);
 }
 
-double upstream_pace::factor(time_point now) const
+double upstream_slowdown::factor(time_point now) const
 {
     if (!observed_at_ || now - *observed_at_ > memory) {
         return 1.0;
@@ -49,17 +49,17 @@
     return last_ / usual();
 }
 
-bool upstream_pace::slow(time_point now) const
+bool upstream_slowdown::slow(time_point now) const
 {
     return factor(now) >= slow_factor;
 }
 
-bool upstream_pace::fresh(time_point now) const
+bool upstream_slowdown::fresh(time_point now) const
 {
     return observed_at_ && now - *observed_at_ < fresh_for;
 }
 
-bool upstream_pace::wants_refresh(time_point now) const
+bool upstream_slowdown::wants_refresh(time_point now) const
 {
     return slow(now) && now - *observed_at_ >= refresh_after;
 }
--- a/unittests/admission/upstream_pace_test.cpp
+++ b/unittests/admission/upstream_pace_test.cpp
@@ -11,18 +11,18 @@
 }
 
 // Guards against calls that are kept away from an upstream whose pace nobody knows.
-TEST(upstream_pace, unknown_pace_is_usual)
+TEST(upstream_slowdown, unknown_pace_is_usual)
 {
-    upstream_pace pace;
+    upstream_slowdown pace;
     EXPECT_FALSE(pace.slow(at(0)));
     EXPECT_FALSE(pace.wants_refresh(at(0)));
     EXPECT_EQ(pace.factor(at(0)), 1.0);
 }
 
 // Guards against a slow phase that is noticed late or outlives its end.
-TEST(upstream_pace, follows_the_last_report)
+TEST(upstream_slowdown, follows_the_last_report)
 {
-    upstream_pace pace;
+    upstream_slowdown pace;
     pace.observe(1.0, at(0));
     pace.observe(4.0, at(10));
     EXPECT_TRUE(pace.slow(at(11)));
@@ -32,9 +32,9 @@
 }
 
 // Guards against a slow upstream that gets no work because nobody asks it again.
-TEST(upstream_pace, slow_upstream_is_asked_again)
+TEST(upstream_slowdown, slow_upstream_is_asked_again)
 {
-    upstream_pace pace;
+    upstream_slowdown pace;
     pace.observe(1.0, at(0));
     pace.observe(4.0, at(10));
     EXPECT_FALSE(pace.wants_refresh(at(30)));
@@ -43,9 +43,9 @@
 }
 
 // Guards against an upstream on lasting slow hardware that is avoided for ever.
-TEST(upstream_pace, lasting_slowness_becomes_usual)
+TEST(upstream_slowdown, lasting_slowness_becomes_usual)
 {
-    upstream_pace pace;
+    upstream_slowdown pace;
     pace.observe(1.0, at(0));
     for (int ms = 10; ms <= 6'000; ms += 10) {
         pace.observe(4.0, at(ms));
--- a/unittests/replay/replay_member.h
+++ b/unittests/replay/replay_member.h
@@ -88,7 +88,7 @@
     event_loop& loop_;
     policies policies_;
     admission_queue queue_;
-    upstream_pace pace_;
+    upstream_slowdown pace_;
     std::mt19937_64 random_;
     std::unordered_map<std::uint64_t, execution_ptr> executions_;
     std::uint64_t last_id_ = 0;
