--- a/lib/membership/membership_impl.h
+++ b/lib/membership/membership_impl.h
@@ -62,7 +62,7 @@
     // Joining.
     void join_round();
     void read_directory();
-    bool settled() const { return synced_ && append_complete_ && read_after_settled_; }
+    bool settled() const { return synced_ && append_complete_ && read_after_append_; }
     void schedule_join_round();
     void end_join_pause(bool was_settled);
     void on_join_records(const absl::Status& status);
@@ -88,7 +88,7 @@
     /// Whether the own join record exists or is not needed.
     bool append_complete_ = false;
     /// Whether the stream was read after that; a node that started at the same time shows up then.
-    bool read_after_settled_ = false;
+    bool read_after_append_ = false;
     std::atomic<std::uint64_t> sync_bytes_sent_{0};
     std::atomic<std::uint64_t> sync_bytes_received_{0};
 };
--- a/lib/membership/membership_join.cpp
+++ b/lib/membership/membership_join.cpp
@@ -38,7 +38,7 @@
         start_sync(protocol_->table().random_live(1, 0, random_).front()->node);
     }
     flush();
-    if (!live.empty() && append_complete_ && read_after_settled_) {
+    if (!live.empty() && append_complete_ && read_after_append_) {
         // Only the exchange with a peer is missing.
         schedule_join_round();
         return;
@@ -75,7 +75,7 @@
         directory_->purge(now, record_freshness * 6);
         contact_recorded(protocol_->table().live().empty() ? contacts_per_round
                                                            : contacts_per_refresh);
-        read_after_settled_ = append_complete_;
+        read_after_append_ = append_complete_;
         append_when_needed(now);
     }
     schedule_join_round();
