--- a/include/chestnutstand/admission/return_time.h
+++ b/include/chestnutstand/admission/return_time.h
@@ -11,7 +11,7 @@
 /// Load pattern: a burst that fills the queues for longer than a latency target. A later return is
 /// as likely to be refused again, and what it gets is late; callers that return together are a
 /// burst of their own.
-inline milliseconds return_time(milliseconds latency_target, double position)
+inline milliseconds retry_delay(milliseconds latency_target, double position)
 {
     constexpr double earliest = 0.25;
     constexpr double latest = 0.5;
--- a/unittests/admission/return_time_test.cpp
+++ b/unittests/admission/return_time_test.cpp
@@ -6,12 +6,12 @@
 namespace {
 
 // Guards against refused callers that come back too late for their target, or all at once.
-TEST(return_time, leaves_time_to_be_served_and_spreads_the_callers)
+TEST(retry_delay, leaves_time_to_be_served_and_spreads_the_callers)
 {
     const milliseconds target{800};
-    EXPECT_EQ(return_time(target, 0.0), milliseconds{200});
-    EXPECT_EQ(return_time(target, 0.5), milliseconds{300});
-    EXPECT_LT(return_time(target, 0.999), target / 2.0);
+    EXPECT_EQ(retry_delay(target, 0.0), milliseconds{200});
+    EXPECT_EQ(retry_delay(target, 0.5), milliseconds{300});
+    EXPECT_LT(retry_delay(target, 0.999), target / 2.0);
 }
 
 } // namespace
--- a/unittests/replay/replay_model.cpp
+++ b/unittests/replay/replay_model.cpp
@@ -190,7 +190,7 @@
     if (result.outcome == call_outcome::not_run && who->returns < world_.returns) {
         std::uniform_real_distribution<double> position{0.0, 1.0};
         milliseconds pause =
-            policies_.return_in_target ? return_time(what.target, position(random_)) : fixed_return;
+            policies_.return_in_target ? retry_delay(what.target, position(random_)) : fixed_return;
         pause = world_.repeat_at_once ? milliseconds{1} : pause;
         ++who->returns;
         loop_.after(pause, [this, who] {
