--- a/lib/membership/membership_impl.h
+++ b/lib/membership/membership_impl.h
@@ -64,7 +64,7 @@
     void read_directory();
     bool settled() const { return synced_ && append_complete_ && read_after_append_; }
     void schedule_join_round();
-    void end_join_pause(bool was_settled);
+    void on_join_timer(bool was_settled);
     void on_join_records(const absl::Status& status);
     void contact_recorded(std::size_t limit);
     void append_when_needed(time_point now);
--- a/lib/membership/membership_join.cpp
+++ b/lib/membership/membership_join.cpp
@@ -95,10 +95,10 @@
                                   synced_ ? longest_joined_interval : longest_join_interval);
     }
     loop_.post_after(delay,
-                     guarded([was_settled](impl& self) { self.end_join_pause(was_settled); }));
+                     guarded([was_settled](impl& self) { self.on_join_timer(was_settled); }));
 }
 
-void membership::impl::end_join_pause(bool was_settled)
+void membership::impl::on_join_timer(bool was_settled)
 {
     const bool alone = protocol_->table().live().empty();
     const bool settled_meanwhile = !was_settled && settled();
