--- a/include/chestnutstand/admission/admission_queue.h
+++ b/include/chestnutstand/admission/admission_queue.h
@@ -64,7 +64,7 @@
 
     /// A class for a request whose own is not known here: the first one with the prefix, or else
     /// the one that is served last. Nothing when there is no class.
-    std::optional<std::size_t> find_substitute(std::string_view prefix) const;
+    std::optional<std::size_t> find_fallback_priority(std::string_view prefix) const;
 
     /// Tells how long work takes on the upstream now, compared with its usual time. While it takes
     /// longer, a request starts only if it would still meet its latency target, or else would miss
--- a/lib/admission/admission_queue.cpp
+++ b/lib/admission/admission_queue.cpp
@@ -54,7 +54,7 @@
     return std::nullopt;
 }
 
-std::optional<std::size_t> admission_queue::find_substitute(std::string_view prefix) const
+std::optional<std::size_t> admission_queue::find_fallback_priority(std::string_view prefix) const
 {
     for (std::size_t i = 0; i < classes_.size(); ++i) {
         if (classes_[i].config().name.rfind(prefix, 0) == 0) {
--- a/lib/node/executor.cpp
+++ b/lib/node/executor.cpp
@@ -179,7 +179,7 @@
         return found;
     }
     const auto end = call.priority.find('/');
-    return queue_->find_substitute(std::string_view{call.priority}.substr(0, end + 1));
+    return queue_->find_fallback_priority(std::string_view{call.priority}.substr(0, end + 1));
 }
 
 void executor::execute(std::uint64_t target_instance, service_call call, const call_done& done)
