--- a/include/chestnutstand/admission/upstream_pace.h
+++ b/include/chestnutstand/admission/upstream_pace.h
@@ -29,7 +29,7 @@
     bool fresh(time_point now) const;
 
     /// Whether the upstream was slow when it was last heard of and that is a while ago.
-    bool wants_refresh(time_point now) const;
+    bool needs_refresh(time_point now) const;
 
 private:
     double usual() const;
--- a/lib/admission/upstream_pace.cpp
+++ b/lib/admission/upstream_pace.cpp
@@ -59,7 +59,7 @@
     return observed_at_ && now - *observed_at_ < fresh_for;
 }
 
-bool upstream_slowdown::wants_refresh(time_point now) const
+bool upstream_slowdown::needs_refresh(time_point now) const
 {
     return slow(now) && now - *observed_at_ >= refresh_after;
 }
--- a/lib/node/executor_pace.cpp
+++ b/lib/node/executor_pace.cpp
@@ -111,7 +111,7 @@
     {
         const std::lock_guard lock{mutex_};
         path = health_path();
-        if (probing_pace_ || path.empty() || !pace_.wants_refresh(now)) {
+        if (probing_pace_ || path.empty() || !pace_.needs_refresh(now)) {
             return;
         }
         probing_pace_ = true;
--- a/unittests/admission/upstream_pace_test.cpp
+++ b/unittests/admission/upstream_pace_test.cpp
@@ -15,7 +15,7 @@
 {
     upstream_slowdown pace;
     EXPECT_FALSE(pace.slow(at(0)));
-    EXPECT_FALSE(pace.wants_refresh(at(0)));
+    EXPECT_FALSE(pace.needs_refresh(at(0)));
     EXPECT_EQ(pace.factor(at(0)), 1.0);
 }
 
@@ -37,8 +37,8 @@
     upstream_slowdown pace;
     pace.observe(1.0, at(0));
     pace.observe(4.0, at(10));
-    EXPECT_FALSE(pace.wants_refresh(at(30)));
-    EXPECT_TRUE(pace.wants_refresh(at(100)));
+    EXPECT_FALSE(pace.needs_refresh(at(30)));
+    EXPECT_TRUE(pace.needs_refresh(at(100)));
     EXPECT_FALSE(pace.slow(at(2'000)));
 }
 
--- a/unittests/replay/replay_member.cpp
+++ b/unittests/replay/replay_member.cpp
@@ -95,7 +95,7 @@
     loop_.after(expiry_step, [this] {
         expiry_watched_ = false;
         // A slow upstream is asked again, as without work it would not tell when it is back.
-        if (pace_.wants_refresh(loop_.now())) {
+        if (pace_.needs_refresh(loop_.now())) {
             pace_.observe(pace, loop_.now());
         }
         take_decisions();
