--- a/include/chestnutstand/admission/upstream_pace.h
+++ b/include/chestnutstand/admission/upstream_pace.h
@@ -26,7 +26,7 @@
     bool slow(time_point now) const;
 
     /// Whether the last report still says something about this moment.
-    bool fresh(time_point now) const;
+    bool has_recent_report(time_point now) const;
 
     /// Whether the upstream was slow when it was last heard of and that is a while ago.
     bool needs_refresh(time_point now) const;
--- a/lib/node/executor_pace.cpp
+++ b/lib/node/executor_pace.cpp
@@ -18,7 +18,7 @@
 bool executor::needs_fresh_pace(const service_call& call, time_point now)
 {
     if (call.repeat == repeatability::by_class || names_.upstream_load.empty() ||
-        health_path().empty() || pace_.fresh(now) || now < no_pace_until_) {
+        health_path().empty() || pace_.has_recent_report(now) || now < no_pace_until_) {
         return false;
     }
     return probing_pace_ || pace_probes_.try_take(now);
@@ -65,7 +65,7 @@
                          const std::lock_guard lock{mutex_};
                          probing_pace_ = false;
                          waiting.swap(waiting_for_pace_);
-                         if (!pace_.fresh(now)) {
+                         if (!pace_.has_recent_report(now)) {
                              no_pace_until_ = now + pace_probe_pause;
                          }
                      }
