--- a/include/chestnutstand/admission/admission_queue.h
+++ b/include/chestnutstand/admission/admission_queue.h
@@ -114,7 +114,7 @@
     std::optional<std::size_t> pick(time_point now) const;
     std::optional<std::size_t> pick_guaranteed(time_point now) const;
     queue_decision start_next_of(std::size_t priority, time_point now);
-    void settle_credit(std::size_t dispatched);
+    void update_credits(std::size_t dispatched);
     bool has_room(std::size_t priority, time_point now) const;
     bool worth_starting(const class_queue& queue, time_point now) const;
     std::uint32_t headroom(std::size_t priority, time_point now) const;
--- a/lib/admission/admission_queue.cpp
+++ b/lib/admission/admission_queue.cpp
@@ -174,7 +174,7 @@
 queue_decision admission_queue::start_next_of(std::size_t priority, time_point now)
 {
     auto& queue = classes_[priority];
-    settle_credit(priority);
+    update_credits(priority);
     const auto request = queue.pop(now);
     queue.dispatches().add(now);
     ++queue.running;
@@ -183,7 +183,7 @@
     return {request.id, reason_code::none, now - request.arrived};
 }
 
-void admission_queue::settle_credit(std::size_t dispatched)
+void admission_queue::update_credits(std::size_t dispatched)
 {
     for (auto& queue : classes_) {
         if (!queue.empty()) {
