--- a/include/chestnutstand/admission/admission_queue.h
+++ b/include/chestnutstand/admission/admission_queue.h
@@ -116,7 +116,7 @@
     queue_decision start_next_of(std::size_t priority, time_point now);
     void update_credits(std::size_t dispatched);
     bool has_room(std::size_t priority, time_point now) const;
-    bool worth_starting(const class_queue& queue, time_point now) const;
+    bool is_worth_starting(const class_queue& queue, time_point now) const;
     std::uint32_t headroom(std::size_t priority, time_point now) const;
     std::optional<queue_decision> expire(time_point now);
     double dispatches_per_ms(std::size_t priority, time_point now) const;
--- a/lib/admission/admission_queue.cpp
+++ b/lib/admission/admission_queue.cpp
@@ -151,7 +151,7 @@
     }
     for (const auto priority : by_urgency_) {
         if (!classes_[priority].empty() && has_room(priority, now) &&
-            worth_starting(classes_[priority], now)) {
+            is_worth_starting(classes_[priority], now)) {
             return priority;
         }
     }
@@ -163,7 +163,7 @@
     std::optional<std::size_t> best;
     for (const auto priority : by_urgency_) {
         const auto& queue = classes_[priority];
-        if (!queue.empty() && queue.credit >= earned_dispatch && worth_starting(queue, now) &&
+        if (!queue.empty() && queue.credit >= earned_dispatch && is_worth_starting(queue, now) &&
             (!best || queue.credit > classes_[*best].credit)) {
             best = priority;
         }
@@ -205,7 +205,7 @@
 
 /// A request that starts while the upstream is slow takes several times as long to its end, so that
 /// waiting costs it less as long as there is time.
-bool admission_queue::worth_starting(const class_queue& queue, time_point now) const
+bool admission_queue::is_worth_starting(const class_queue& queue, time_point now) const
 {
     if (pace_ <= 1.0) {
         return true;
