--- a/include/chestnutstand/admission/concurrency_limit.h
+++ b/include/chestnutstand/admission/concurrency_limit.h
@@ -46,7 +46,7 @@
     void set_slots(std::uint32_t slots);
 
     /// Forgets what is known of response times, for example when the classes have changed.
-    void forget_baselines();
+    void reset_baselines();
 
     void observe(const observation& seen, time_point now);
 
--- a/lib/admission/admission_queue.cpp
+++ b/lib/admission/admission_queue.cpp
@@ -384,7 +384,7 @@
         changed = changed || new_index[i] != i;
     }
     if (changed) {
-        limit_.forget_baselines();
+        limit_.reset_baselines();
     }
     sort_by_urgency();
 }
--- a/lib/admission/concurrency_limit.cpp
+++ b/lib/admission/concurrency_limit.cpp
@@ -38,7 +38,7 @@
     slots_ = slots;
 }
 
-void concurrency_limit::forget_baselines()
+void concurrency_limit::reset_baselines()
 {
     classes_.clear();
     congestion_.reset();
