--- a/lib/admission/concurrency_limit.cpp
+++ b/lib/admission/concurrency_limit.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint32_t window_rounds = 4;
 constexpr double congested_ratio = 2.0;
 // Below this ratio the limit may grow; between the two it is kept, so that it does not oscillate.
-constexpr double calm_ratio = 1.5;
+constexpr double uncongested_ratio = 1.5;
 constexpr double shed_factor = 0.7;
 constexpr double latency_factor = 0.8;
 // When half of the concurrency does not lower the latency by at least a quarter, the latency does
@@ -84,7 +84,7 @@
 void concurrency_limit::grow_early(time_point now)
 {
     if (limit_ >= slots_ || congestion_ || window_count_ < window_rounds * limit_ ||
-        !may_grow(now) || latency_ratio() >= calm_ratio) {
+        !may_grow(now) || latency_ratio() >= uncongested_ratio) {
         return;
     }
     update_baselines(false);
@@ -114,7 +114,7 @@
         react_to_congestion(ratio, now);
         return;
     }
-    if (ratio < calm_ratio) {
+    if (ratio < uncongested_ratio) {
         congestion_.reset();
         if (growing) {
             limit_ = std::min(limit_ + 1, slots_);
