--- a/lib/admission/concurrency_limit.cpp
+++ b/lib/admission/concurrency_limit.cpp
@@ -17,7 +17,7 @@
 constexpr double latency_factor = 0.8;
 // When half of the concurrency does not lower the latency by at least a quarter, the latency does
 // not come from our concurrency, and a lower limit would only lose throughput.
-constexpr double helpful_ratio = 0.75;
+constexpr double effective_decrease_ratio = 0.75;
 // Falling much faster than it rises would pull the baseline below the mean of varying latencies.
 constexpr double baseline_fall = 0.1;
 constexpr double baseline_rise = 0.05;
@@ -165,7 +165,7 @@
         decrease(latency_factor, now);
         return;
     }
-    if (ratio <= helpful_ratio * congestion_->ratio_before) {
+    if (ratio <= effective_decrease_ratio * congestion_->ratio_before) {
         // Lowering the limit helps; the next halving has to show it again.
         congestion_ = congestion{limit_, ratio};
         decrease(latency_factor, now);
