--- a/lib/admission/admission_queue.cpp
+++ b/lib/admission/admission_queue.cpp
@@ -13,7 +13,7 @@
 constexpr milliseconds service_time_half_life{500};
 constexpr double min_service_time_ms = 0.01;
 // Half of the slack is left for the variation of the estimate and of the service time.
-constexpr double overloaded_wait_of_slack = 0.5;
+constexpr double overloaded_wait_slack_fraction = 0.5;
 // Rounding of sums of shares must not delay an earned dispatch.
 constexpr double earned_dispatch = 1.0 - 1e-9;
 // A class without requests for this long is not expected back within the next moments.
@@ -106,7 +106,7 @@
     // An empty queue takes one request whatever the estimate, so that the class stays backlogged
     // and gets its share.
     if (!queue.empty() && queue.overloaded(now) &&
-        wait > queue.target_slack(now) * overloaded_wait_of_slack) {
+        wait > queue.target_slack(now) * overloaded_wait_slack_fraction) {
         queue.note_overload_refusal(now);
         return reason_code::queue_full;
     }
