--- a/lib/admission/admission_queue.cpp
+++ b/lib/admission/admission_queue.cpp
@@ -21,7 +21,7 @@
 // Covers the time between two looks at the queue.
 constexpr milliseconds slow_start_margin{40};
 // Waiting a tenth of the target for a free slot is not worth an idle slot.
-constexpr double negligible_wait_of_target = 0.1;
+constexpr double negligible_wait_target_fraction = 0.1;
 
 double sum_of_weights(const service_config& service)
 {
@@ -232,7 +232,7 @@
         }
         const auto& other = classes_[urgent];
         const double negligible_ms =
-            other.config().latency_target.count() * negligible_wait_of_target;
+            other.config().latency_target.count() * negligible_wait_target_fraction;
         if (!other.last_offer || now - *other.last_offer > headroom_memory ||
             release_interval_ms <= negligible_ms) {
             continue;
