--- a/lib/admission/class_queue.cpp
+++ b/lib/admission/class_queue.cpp
@@ -12,7 +12,7 @@
 // A queue that empties within two latency targets is a burst that the capacity can absorb.
 constexpr double overload_targets = 2.0;
 // A class whose service time exceeds its target is still given some time in the queue.
-constexpr double min_slack_of_target = 0.25;
+constexpr double min_slack_target_fraction = 0.25;
 // Bounds the rate of wake-ups while an expiry time moves with the measured service time.
 constexpr milliseconds min_expiry_delay{1};
 
@@ -110,7 +110,8 @@
 milliseconds class_queue::target_slack(time_point now) const
 {
     const milliseconds service{service_time_.optimistic(now)};
-    return std::max(config_.latency_target - service, config_.latency_target * min_slack_of_target);
+    return std::max(config_.latency_target - service,
+                    config_.latency_target * min_slack_target_fraction);
 }
 
 bool class_queue::overloaded(time_point now)
