--- a/lib/admission/class_queue.cpp
+++ b/lib/admission/class_queue.cpp
@@ -10,7 +10,7 @@
 // A class that is refused because of its measured service time is tried again after a few of these.
 constexpr milliseconds measurement_half_life{500};
 // A queue that empties within two latency targets is a burst that the capacity can absorb.
-constexpr double overload_targets = 2.0;
+constexpr double overload_interval_targets = 2.0;
 // A class whose service time exceeds its target is still given some time in the queue.
 constexpr double min_slack_target_fraction = 0.25;
 // Bounds the rate of wake-ups while an expiry time moves with the measured service time.
@@ -128,7 +128,7 @@
 
 milliseconds class_queue::overload_interval() const
 {
-    return config_.latency_target * overload_targets;
+    return config_.latency_target * overload_interval_targets;
 }
 
 void class_queue::move_late(time_point now)
