--- a/lib/admission/admission_queue.cpp
+++ b/lib/admission/admission_queue.cpp
@@ -15,7 +15,7 @@
 // Half of the slack is left for the variation of the estimate and of the service time.
 constexpr double overloaded_wait_slack_fraction = 0.5;
 // Rounding of sums of shares must not delay an earned dispatch.
-constexpr double earned_dispatch = 1.0 - 1e-9;
+constexpr double earned_dispatch_credit = 1.0 - 1e-9;
 // A class without requests for this long is not expected back within the next moments.
 constexpr milliseconds headroom_memory{10'000};
 // Covers the time between two looks at the queue.
@@ -163,8 +163,8 @@
     std::optional<std::size_t> best;
     for (const auto priority : by_urgency_) {
         const auto& queue = classes_[priority];
-        if (!queue.empty() && queue.credit >= earned_dispatch && is_worth_starting(queue, now) &&
-            (!best || queue.credit > classes_[*best].credit)) {
+        if (!queue.empty() && queue.credit >= earned_dispatch_credit &&
+            is_worth_starting(queue, now) && (!best || queue.credit > classes_[*best].credit)) {
             best = priority;
         }
     }
