--- a/lib/admission/concurrency_limit.cpp
+++ b/lib/admission/concurrency_limit.cpp
@@ -13,7 +13,7 @@
 constexpr double congested_ratio = 2.0;
 // Below this ratio the limit may grow; between the two it is kept, so that it does not oscillate.
 constexpr double uncongested_ratio = 1.5;
-constexpr double shed_factor = 0.7;
+constexpr double shed_decrease_factor = 0.7;
 constexpr double latency_factor = 0.8;
 // When half of the concurrency does not lower the latency by at least a quarter, the latency does
 // not come from our concurrency, and a lower limit would only lose throughput.
@@ -56,7 +56,7 @@
         return;
     case sample_kind::shed:
         last_shed_ = now;
-        decrease(shed_factor, now);
+        decrease(shed_decrease_factor, now);
         return;
     case sample_kind::completed:
     case sample_kind::timed_out:
