--- a/lib/admission/concurrency_limit.cpp
+++ b/lib/admission/concurrency_limit.cpp
@@ -14,7 +14,7 @@
 // Below this ratio the limit may grow; between the two it is kept, so that it does not oscillate.
 constexpr double uncongested_ratio = 1.5;
 constexpr double shed_decrease_factor = 0.7;
-constexpr double latency_factor = 0.8;
+constexpr double latency_decrease_factor = 0.8;
 // When half of the concurrency does not lower the latency by at least a quarter, the latency does
 // not come from our concurrency, and a lower limit would only lose throughput.
 constexpr double effective_decrease_ratio = 0.75;
@@ -162,13 +162,13 @@
     }
     const bool halved = limit_ <= std::max(1U, congestion_->limit_before / 2);
     if (!halved) {
-        decrease(latency_factor, now);
+        decrease(latency_decrease_factor, now);
         return;
     }
     if (ratio <= effective_decrease_ratio * congestion_->ratio_before) {
         // Lowering the limit helps; the next halving has to show it again.
         congestion_ = congestion{limit_, ratio};
-        decrease(latency_factor, now);
+        decrease(latency_decrease_factor, now);
         return;
     }
     for (auto& window : classes_) {
