--- a/lib/admission/admission_queue.cpp
+++ b/lib/admission/admission_queue.cpp
@@ -19,7 +19,7 @@
 // A class without requests for this long is not expected back within the next moments.
 constexpr milliseconds headroom_memory{10'000};
 // Covers the time between two looks at the queue.
-constexpr milliseconds slow_start_margin{40};
+constexpr milliseconds deadline_start_margin{40};
 // Waiting a tenth of the target for a free slot is not worth an idle slot.
 constexpr double negligible_wait_target_fraction = 0.1;
 
@@ -213,7 +213,7 @@
     const milliseconds service{queue.service_time().optimistic(now) * pace_};
     const auto& first = queue.front();
     const bool in_time = now - first.arrived + service <= queue.config().latency_target;
-    const bool last_chance = now + service + slow_start_margin >= first.deadline;
+    const bool last_chance = now + service + deadline_start_margin >= first.deadline;
     return in_time || last_chance;
 }
 
