--- a/lib/admission/admission_queue.cpp
+++ b/lib/admission/admission_queue.cpp
@@ -17,7 +17,7 @@
 // Rounding of sums of shares must not delay an earned dispatch.
 constexpr double earned_dispatch_credit = 1.0 - 1e-9;
 // A class without requests for this long is not expected back within the next moments.
-constexpr milliseconds headroom_memory{10'000};
+constexpr milliseconds recent_demand_window{10'000};
 // Covers the time between two looks at the queue.
 constexpr milliseconds deadline_start_margin{40};
 // Waiting a tenth of the target for a free slot is not worth an idle slot.
@@ -233,7 +233,7 @@
         const auto& other = classes_[urgent];
         const double negligible_ms =
             other.config().latency_target.count() * negligible_wait_target_fraction;
-        if (!other.last_offer || now - *other.last_offer > headroom_memory ||
+        if (!other.last_offer || now - *other.last_offer > recent_demand_window ||
             release_interval_ms <= negligible_ms) {
             continue;
         }
