--- a/lib/admission/upstream_pace.cpp
+++ b/lib/admission/upstream_pace.cpp
@@ -12,7 +12,7 @@
 /// Age from which a report of a slow upstream is worth a request that only measures.
 constexpr milliseconds refresh_after{60};
 /// Slow phases last some hundred milliseconds, so that one rarely begins within this time.
-constexpr milliseconds fresh_for{50};
+constexpr milliseconds recent_report_age{50};
 /// Time over which the lowest factor counts as the usual one.
 constexpr milliseconds baseline_period{2'000};
 constexpr double lowest_factor = 0.01;
@@ -56,7 +56,7 @@
 
 bool upstream_slowdown::has_recent_report(time_point now) const
 {
-    return observed_at_ && now - *observed_at_ < fresh_for;
+    return observed_at_ && now - *observed_at_ < recent_report_age;
 }
 
 bool upstream_slowdown::needs_refresh(time_point now) const
