--- a/lib/admission/upstream_pace.cpp
+++ b/lib/admission/upstream_pace.cpp
@@ -15,13 +15,13 @@
 constexpr milliseconds recent_report_age{50};
 /// Time over which the lowest factor counts as the usual one.
 constexpr milliseconds baseline_period{2'000};
-constexpr double lowest_factor = 0.01;
+constexpr double min_reported_factor = 0.01;
 
 } // namespace
 
 void upstream_slowdown::observe(double factor, time_point now)
 {
-    factor = std::max(factor, lowest_factor);
+    factor = std::max(factor, min_reported_factor);
     if (!observed_at_) {
         lowest_ = previous_lowest_ = factor;
         period_start_ = now;
