--- a/include/chestnutstand/admission/class_queue.h
+++ b/include/chestnutstand/admission/class_queue.h
@@ -61,7 +61,7 @@
     std::optional<time_point> next_expiry(time_point now) const;
 
     /// Requests that a new one would have to wait for within the class.
-    std::size_t ahead_of_new(time_point now);
+    std::size_t requests_ahead(time_point now);
     /// Longest wait with which a request is expected to meet the latency target.
     milliseconds target_slack(time_point now) const;
     /// True while the queue has been standing for so long that it is not a mere burst.
--- a/lib/admission/admission_queue.cpp
+++ b/lib/admission/admission_queue.cpp
@@ -296,7 +296,7 @@
 milliseconds admission_queue::expected_wait(std::size_t priority, time_point now)
 {
     auto& queue = classes_[priority];
-    const auto own = queue.ahead_of_new(now);
+    const auto own = queue.requests_ahead(now);
     const double total_per_ms = dispatches_per_ms(priority, now);
     const auto service_ms = [now](const class_queue& of) {
         return of.service_time().blended(of.config().latency_target.count(), now);
--- a/lib/admission/class_queue.cpp
+++ b/lib/admission/class_queue.cpp
@@ -101,7 +101,7 @@
     return std::max(due, now + min_expiry_delay);
 }
 
-std::size_t class_queue::ahead_of_new(time_point now)
+std::size_t class_queue::requests_ahead(time_point now)
 {
     move_late(now);
     return in_time_.size();
