--- a/include/chestnutstand/admission/decaying_mean.h
+++ b/include/chestnutstand/admission/decaying_mean.h
@@ -34,7 +34,7 @@
     double mean() const { return mean_; }
 
     /// The mean, shrinking towards zero since the last sample; zero before the first.
-    double optimistic(time_point now) const
+    double optimistic_mean(time_point now) const
     {
         return mean_ * decay_factor(now - last_, half_life_);
     }
--- a/lib/admission/admission_queue.cpp
+++ b/lib/admission/admission_queue.cpp
@@ -99,7 +99,7 @@
         return reason_code::queue_full;
     }
     const auto wait = expected_wait(priority, now);
-    if (now + wait + milliseconds{queue.service_time().optimistic(now)} >= deadline) {
+    if (now + wait + milliseconds{queue.service_time().optimistic_mean(now)} >= deadline) {
         queue.refused_while_empty = queue.empty();
         return reason_code::deadline_unmeetable;
     }
@@ -210,7 +210,7 @@
     if (pace_ <= 1.0) {
         return true;
     }
-    const milliseconds service{queue.service_time().optimistic(now) * pace_};
+    const milliseconds service{queue.service_time().optimistic_mean(now) * pace_};
     const auto& first = queue.front();
     const bool in_time = now - first.arrived + service <= queue.config().latency_target;
     const bool last_chance = now + service + deadline_start_margin >= first.deadline;
@@ -239,7 +239,7 @@
         }
         wanted = true;
         running += other.running;
-        expected += other.arrivals().per_ms(now) * other.service_time().optimistic(now);
+        expected += other.arrivals().per_ms(now) * other.service_time().optimistic_mean(now);
     }
     if (!wanted) {
         return 0;
--- a/lib/admission/class_queue.cpp
+++ b/lib/admission/class_queue.cpp
@@ -68,7 +68,7 @@
     if (empty()) {
         return std::nullopt;
     }
-    const milliseconds service{service_time_.optimistic(now)};
+    const milliseconds service{service_time_.optimistic_mean(now)};
     const auto [deadline, id] = *by_deadline_.begin();
     if (deadline <= now + service) {
         return expired_request{take(id), reason_code::deadline_unmeetable};
@@ -94,7 +94,7 @@
     if (empty()) {
         return std::nullopt;
     }
-    auto due = by_deadline_.begin()->first - milliseconds{service_time_.optimistic(now)};
+    auto due = by_deadline_.begin()->first - milliseconds{service_time_.optimistic_mean(now)};
     if (!in_time_.empty()) {
         due = std::min(due, in_time_.front().arrived + target_slack(now));
     }
@@ -109,7 +109,7 @@
 
 milliseconds class_queue::target_slack(time_point now) const
 {
-    const milliseconds service{service_time_.optimistic(now)};
+    const milliseconds service{service_time_.optimistic_mean(now)};
     return std::max(config_.latency_target - service,
                     config_.latency_target * min_slack_target_fraction);
 }
