--- a/include/chestnutstand/admission/decaying_mean.h
+++ b/include/chestnutstand/admission/decaying_mean.h
@@ -40,7 +40,7 @@
     }
 
     /// The mean, moving towards the prior as the samples age; the prior before the first sample.
-    double blended(double prior, time_point now) const
+    double blended_mean(double prior, time_point now) const
     {
         const double confidence = std::min(1.0, weight_ * decay_factor(now - last_, half_life_));
         return mean_ * confidence + prior * (1.0 - confidence);
--- a/lib/admission/admission_queue.cpp
+++ b/lib/admission/admission_queue.cpp
@@ -221,7 +221,8 @@
 {
     const auto& queue = classes_[priority];
     const double release_interval_ms =
-        queue.service_time().blended(queue.config().latency_target.count(), now) / limit_.value();
+        queue.service_time().blended_mean(queue.config().latency_target.count(), now) /
+        limit_.value();
     double expected = 0.0;
     std::uint32_t running = 0;
     bool wanted = false;
@@ -299,7 +300,7 @@
     const auto own = queue.requests_ahead(now);
     const double total_per_ms = dispatches_per_ms(priority, now);
     const auto service_ms = [now](const class_queue& of) {
-        return of.service_time().blended(of.config().latency_target.count(), now);
+        return of.service_time().blended_mean(of.config().latency_target.count(), now);
     };
     const std::uint32_t idle_slots = headroom(priority, now);
     double work_ahead_ms = static_cast<double>(own + 1) * service_ms(queue);
@@ -341,7 +342,8 @@
 double admission_queue::dispatches_per_ms(std::size_t priority, time_point now) const
 {
     const double prior_ms = classes_[priority].config().latency_target.count();
-    return limit_.value() / std::max(min_service_time_ms, service_time_.blended(prior_ms, now));
+    return limit_.value() /
+           std::max(min_service_time_ms, service_time_.blended_mean(prior_ms, now));
 }
 
 void admission_queue::set_classes(const service_config& service)
