--- a/lib/membership/membership.cpp
+++ b/lib/membership/membership.cpp
@@ -56,7 +56,7 @@
         protocol.cluster = self.options_.cluster;
         self.protocol_.emplace(self.options_.self, protocol, self.options_.random_seed, now);
         std::uniform_real_distribution<double> share{0.0, 1.0};
-        self.append_from_ = now + append_jitter * share(self.random_);
+        self.earliest_append_ = now + append_jitter * share(self.random_);
         self.tick();
         self.join_round();
     });
--- a/lib/membership/membership_impl.h
+++ b/lib/membership/membership_impl.h
@@ -82,7 +82,7 @@
     bool sync_running_ = false;
     bool directory_reachable_ = true;
     milliseconds join_interval_ = initial_join_interval;
-    time_point append_from_;
+    time_point earliest_append_;
     /// Set while this node renews the records of its data centre.
     bool refreshing_ = false;
     /// Whether the own join record exists or is not needed.
--- a/lib/membership/membership_join.cpp
+++ b/lib/membership/membership_join.cpp
@@ -151,7 +151,7 @@
 void membership::impl::append_when_needed(time_point now)
 {
     const auto enough = directory_->sufficient_record_count();
-    if (append_complete_ || !enough || now < append_from_) {
+    if (append_complete_ || !enough || now < earliest_append_) {
         return;
     }
     if (!refreshing_ && fresh_records(now) >= *enough) {
