--- a/unittests/membership/gossip_network.h
+++ b/unittests/membership/gossip_network.h
@@ -53,7 +53,7 @@
     }
     std::size_t size() const { return slots_.size(); }
     bool is_running(std::size_t slot) const { return slots_[slot].up && !slots_[slot].paused; }
-    bool saw_resume(std::size_t slot) const { return slots_[slot].resumed; }
+    bool has_resumed(std::size_t slot) const { return slots_[slot].resumed; }
 
     /// Whether the predicate holds for all running nodes, or those of one data centre.
     bool all_running(const std::function<bool(const swim&)>& predicate,
--- a/unittests/membership/swim_test.cpp
+++ b/unittests/membership/swim_test.cpp
@@ -46,7 +46,7 @@
     network.resume(2);
     network.run_until([&] { return network.is_converged(); }, 30 * second);
     EXPECT_TRUE(network.is_converged());
-    EXPECT_TRUE(network.saw_resume(2));
+    EXPECT_TRUE(network.has_resumed(2));
     network.run_for(10 * second);
     EXPECT_TRUE(network.is_converged());
     EXPECT_EQ(network.deaths_declared(), deaths);
@@ -66,7 +66,7 @@
     }
     ASSERT_GT(network.suspicions_raised(), 0U);
     network.run_for(10 * second);
-    ASSERT_FALSE(network.saw_resume(2));
+    ASSERT_FALSE(network.has_resumed(2));
     EXPECT_TRUE(network.is_converged());
     EXPECT_EQ(network.deaths_declared(), 0U);
     EXPECT_GT(network.node(2).counters().refutations, 0U);
