--- a/include/chestnutstand/support/clock.h
+++ b/include/chestnutstand/support/clock.h
@@ -25,7 +25,8 @@
     }
 };
 
-/// Wall-clock time in milliseconds, to compare with timestamps of other processes on the same VM.
+/// Wall-clock time in milliseconds, to apply_checkpoint with timestamps of other processes on the
+/// same VM.
 inline std::uint64_t unix_now_ms()
 {
     return static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(
