--- a/include/chestnutstand/keys/key_candidates.h
+++ b/include/chestnutstand/keys/key_candidates.h
@@ -42,9 +42,9 @@
 };
 
 /// Executors by reference, whether it is this process or a peer.
-class key_candidates {
+class candidate_client {
 public:
-    key_candidates(std::uint64_t self, peer_client& peers, key_executor& local)
+    candidate_client(std::uint64_t self, peer_client& peers, key_executor& local)
         : self_{self}, peers_{peers}, local_{local}
     {
     }
--- a/include/chestnutstand/keys/key_owner.h
+++ b/include/chestnutstand/keys/key_owner.h
@@ -39,7 +39,7 @@
 /// owner may resume anywhere. Thread-safe; callbacks run outside its mutex.
 class key_owner : public std::enable_shared_from_this<key_owner> {
 public:
-    key_owner(key_owner_options options, key_candidates candidates, candidate_selection selection,
+    key_owner(key_owner_options options, candidate_client candidates, candidate_selection selection,
               key_environment environment);
 
     /// New keys of a service, or an error when it has no candidates.
@@ -75,7 +75,7 @@
     void finish(const execution_ptr& run, call_result result);
 
     const key_owner_options options_;
-    const key_candidates candidates_;
+    const candidate_client candidates_;
     const candidate_selection selection_;
     const key_environment environment_;
     const time_point started_;
--- a/include/chestnutstand/keys/key_settlement.h
+++ b/include/chestnutstand/keys/key_settlement.h
@@ -15,7 +15,7 @@
 /// thread-safe, and has no state of its own.
 class key_settlement : public std::enable_shared_from_this<key_settlement> {
 public:
-    key_settlement(std::string secret, key_candidates candidates, key_environment environment,
+    key_settlement(std::string secret, candidate_client candidates, key_environment environment,
                    const settle_timing& timing);
 
     /// Settles the key of a call with the given request, or of a query without one. A key that ran
@@ -35,7 +35,7 @@
     void conclude(const inquiry_ptr& asked) const;
 
     const std::string secret_;
-    const key_candidates candidates_;
+    const candidate_client candidates_;
     const key_environment environment_;
     const settle_timing timing_;
 };
--- a/lib/keys/key_owner.cpp
+++ b/lib/keys/key_owner.cpp
@@ -35,7 +35,7 @@
     milliseconds settle_delay{0};
 };
 
-key_owner::key_owner(key_owner_options options, key_candidates candidates,
+key_owner::key_owner(key_owner_options options, candidate_client candidates,
                      candidate_selection selection, key_environment environment)
     : options_{std::move(options)}, candidates_{candidates}, selection_{std::move(selection)},
       environment_{std::move(environment)}, started_{environment_.now()}, table_{options_.limits}
--- a/lib/keys/key_settlement.cpp
+++ b/lib/keys/key_settlement.cpp
@@ -57,7 +57,7 @@
     }
 };
 
-key_settlement::key_settlement(std::string secret, key_candidates candidates,
+key_settlement::key_settlement(std::string secret, candidate_client candidates,
                                key_environment environment, const settle_timing& timing)
     : secret_{std::move(secret)}, candidates_{candidates},
       environment_{std::move(environment)}, timing_{timing}
--- a/lib/node/components/keys_component.cpp
+++ b/lib/node/components/keys_component.cpp
@@ -60,7 +60,7 @@
         }
         ended_.store(std::make_shared<instance_set>());
         local_ = std::make_unique<own_candidate>(node);
-        const key_candidates candidates{node.instance(), node.peers(), *local_};
+        const candidate_client candidates{node.instance(), node.peers(), *local_};
         const std::string& secret = node.config().cluster_secret;
         const key_owner_options options{
             {node.instance(), node.config().advertised_address, node.ports().node}, secret, {}, {}};
--- a/unittests/keys/key_simulation.cpp
+++ b/unittests/keys/key_simulation.cpp
@@ -128,7 +128,7 @@
     executor_limits.lifetime += milliseconds{500};
     self->keys =
         std::make_unique<executor_keys>(self->node.instance, std::string{secret}, executor_limits);
-    const key_candidates candidates{self->node.instance, *self->peers, *self->local};
+    const candidate_client candidates{self->node.instance, *self->peers, *self->local};
     self->owner =
         std::make_shared<key_owner>(key_owner_options{self->node, std::string{secret}, limits_, {}},
                                     candidates, selection(), environment_of(self));
