--- a/include/chestnutstand/keys/attempt_ledger.h
+++ b/include/chestnutstand/keys/attempt_ledger.h
@@ -68,7 +68,7 @@
 }
 
 /// The request id in such a key; empty for an issued key.
-inline std::string_view attempt_of_key(std::string_view key)
+inline std::string_view request_id_of_attempt_key(std::string_view key)
 {
     return key.rfind(attempt_key_prefix, 0) == 0 ? key.substr(attempt_key_prefix.size())
                                                  : std::string_view{};
--- a/unittests/keys/attempt_ledger_test.cpp
+++ b/unittests/keys/attempt_ledger_test.cpp
@@ -96,8 +96,8 @@
 // Guards against an issued key that is taken for a request id.
 TEST_F(attempt_ledger_test, tells_attempts_from_issued_keys)
 {
-    EXPECT_EQ(attempt_of_key(attempt_key("r1")), "r1");
-    EXPECT_EQ(attempt_of_key("issued"), "");
+    EXPECT_EQ(request_id_of_attempt_key(attempt_key("r1")), "r1");
+    EXPECT_EQ(request_id_of_attempt_key("issued"), "");
 }
 
 } // namespace
--- a/unittests/node/routed_dispatch_test.cpp
+++ b/unittests/node/routed_dispatch_test.cpp
@@ -108,7 +108,7 @@
         ON_CALL(peers_, settle(_, _, _, _))
             .WillByDefault([known](const node_reference&, const std::string& key, milliseconds,
                                    const peer_client::settle_done& done) {
-                EXPECT_EQ(attempt_of_key(key), "attempt-1");
+                EXPECT_EQ(request_id_of_attempt_key(key), "attempt-1");
                 done(known);
             });
         answer_with([](int attempt) {
