--- a/unittests/keys/key_properties_test.cpp
+++ b/unittests/keys/key_properties_test.cpp
@@ -10,8 +10,8 @@
 namespace chestnutstand {
 namespace {
 
-using simulation::broken_rule;
 using simulation::cluster;
+using simulation::injected_defect;
 
 constexpr int longest_script = 600;
 constexpr int scripts_per_rule = 2'000;
@@ -26,7 +26,7 @@
 }
 
 /// True when one of the scripts breaks the expected rule.
-bool is_noticed(broken_rule broken, history::rule expected)
+bool is_noticed(injected_defect broken, history::rule expected)
 {
     std::mt19937 random{20261204};
     for (int i = 0; i < scripts_per_rule; ++i) {
@@ -49,7 +49,7 @@
         const auto script = *rc::gen::resize(
             longest_script,
             rc::gen::container<std::vector<std::uint8_t>>(rc::gen::arbitrary<std::uint8_t>()));
-        const auto result = cluster{script, broken_rule::none}.run();
+        const auto result = cluster{script, injected_defect::none}.run();
         for (const auto& each : result.checked.violations) {
             RC_LOG() << history::to_string(each.broken) << ": " << each.detail << "\n";
         }
@@ -66,7 +66,7 @@
     std::mt19937 random{20261204};
     std::map<std::string, std::size_t> totals;
     for (int i = 0; i < scripts_per_rule; ++i) {
-        const auto result = cluster{random_script(random), broken_rule::none}.run();
+        const auto result = cluster{random_script(random), injected_defect::none}.run();
         ASSERT_TRUE(result.checked.holds())
             << "script " << i << ": " << history::to_string(result.checked.violations[0].broken)
             << " " << result.checked.violations[0].detail;
@@ -90,26 +90,26 @@
 // Guards against checks that would not notice an owner that moves on after a lost reply.
 TEST(key_properties, notice_a_missing_settlement)
 {
-    EXPECT_TRUE(is_noticed(broken_rule::lost_reply_is_refusal, history::rule::at_most_once));
+    EXPECT_TRUE(is_noticed(injected_defect::lost_reply_is_refusal, history::rule::at_most_once));
 }
 
 // Guards against checks that would not notice an executor that forgets its fences.
 TEST(key_properties, notice_a_missing_fence)
 {
-    EXPECT_TRUE(is_noticed(broken_rule::fence_is_not_kept, history::rule::not_run));
-    EXPECT_TRUE(is_noticed(broken_rule::fence_is_not_kept, history::rule::at_most_once));
+    EXPECT_TRUE(is_noticed(injected_defect::fence_is_not_kept, history::rule::not_run));
+    EXPECT_TRUE(is_noticed(injected_defect::fence_is_not_kept, history::rule::at_most_once));
 }
 
 // Guards against checks that would not notice silence taken for a fence.
 TEST(key_properties, notice_silence_taken_for_a_fence)
 {
-    EXPECT_TRUE(is_noticed(broken_rule::silence_is_fence, history::rule::not_run));
+    EXPECT_TRUE(is_noticed(injected_defect::silence_is_fence, history::rule::not_run));
 }
 
 // Guards against checks that would not notice a failed forward reported as not-run.
 TEST(key_properties, notice_a_failed_forward_taken_for_proof)
 {
-    EXPECT_TRUE(is_noticed(broken_rule::failed_forward_is_proof, history::rule::not_run));
+    EXPECT_TRUE(is_noticed(injected_defect::failed_forward_is_proof, history::rule::not_run));
 }
 
 } // namespace
--- a/unittests/keys/key_simulation.cpp
+++ b/unittests/keys/key_simulation.cpp
@@ -50,7 +50,7 @@
         },
         [reply] { reply(not_run(reason_code::peer_unreachable)); },
         [reply, broken = all_.broken_] {
-            reply(broken == broken_rule::lost_reply_is_refusal
+            reply(broken == injected_defect::lost_reply_is_refusal
                       ? not_run(reason_code::peer_unreachable)
                       : unknown_outcome(reason_code::peer_connection_lost));
         });
@@ -78,7 +78,7 @@
 {
     using result = absl::StatusOr<settle_result>;
     const auto reply = once<result>(std::move(done), alive());
-    const bool broken = all_.broken_ == broken_rule::silence_is_fence;
+    const bool broken = all_.broken_ == injected_defect::silence_is_fence;
     all_.transmit(
         executor,
         [&all = all_, key, executor, reply](const process_ptr& at) {
@@ -95,7 +95,7 @@
         });
 }
 
-cluster::cluster(std::vector<std::uint8_t> script, broken_rule broken)
+cluster::cluster(std::vector<std::uint8_t> script, injected_defect broken)
     : script_{std::move(script)}, broken_{broken}
 {
     if (chance(3)) {
@@ -271,7 +271,7 @@
 
 absl::StatusOr<settle_result> cluster::receive_settle(process& self, const std::string& key)
 {
-    if (broken_ == broken_rule::fence_is_not_kept &&
+    if (broken_ == injected_defect::fence_is_not_kept &&
         started_.count({self.node.instance, key}) == 0U) {
         return settle_result{settle_state::fenced, {}, reason_code::key_fenced, {}};
     }
@@ -339,7 +339,7 @@
                 done(result);
                 return;
             }
-            if (broken_ == broken_rule::failed_forward_is_proof) {
+            if (broken_ == injected_defect::failed_forward_is_proof) {
                 done(not_run(reason_code::peer_unreachable));
                 return;
             }
--- a/unittests/keys/key_simulation.h
+++ b/unittests/keys/key_simulation.h
@@ -16,7 +16,7 @@
 namespace chestnutstand::simulation {
 
 /// Rules that a run may break on purpose, to show that the checks notice it.
-enum class broken_rule : std::uint8_t {
+enum class injected_defect : std::uint8_t {
     none,
     lost_reply_is_refusal,   ///< The owner moves on without settlement.
     fence_is_not_kept,       ///< Executors claim a fence that they do not record.
@@ -37,7 +37,7 @@
 /// When the script ends, everything still pending is delivered, and the history is checked.
 class cluster {
 public:
-    cluster(std::vector<std::uint8_t> script, broken_rule broken);
+    cluster(std::vector<std::uint8_t> script, injected_defect broken);
     cluster(const cluster&) = delete;
     cluster& operator=(const cluster&) = delete;
     ~cluster();
@@ -81,7 +81,7 @@
 
     std::vector<std::uint8_t> script_;
     std::size_t position_ = 0;
-    broken_rule broken_;
+    injected_defect broken_;
     key_table_limits limits_;
     double now_ms_ = 0;
     std::uint64_t next_instance_ = 100;
