--- a/lib/node/dispatched_call.h
+++ b/lib/node/dispatched_call.h
@@ -60,7 +60,7 @@
     }
 
     /// Makes the members that only were slow eligible again; false when there are none.
-    bool settle_for_slow()
+    bool allow_slow_members()
     {
         std::erase_if(tried, [this](std::uint64_t instance) {
             return std::find(slow.begin(), slow.end(), instance) != slow.end();
--- a/lib/node/dispatcher.cpp
+++ b/lib/node/dispatcher.cpp
@@ -232,7 +232,7 @@
                                     running->queue_refusals);
         };
         target = choose();
-        if (!target && running->settle_for_slow()) {
+        if (!target && running->allow_slow_members()) {
             target = choose();
         }
         if (!target) {
