--- a/lib/node/dispatched_call.h
+++ b/lib/node/dispatched_call.h
@@ -37,7 +37,7 @@
     /// Those of them that would not start the call at once because their upstream was slow.
     std::vector<std::uint64_t> slow;
     /// The call waits for a slow upstream, because there is no other.
-    bool settled_for_slow = false;
+    bool slow_members_allowed = false;
     /// One for each attempt, so that the attempts that lose against a hedge can be ended.
     std::vector<std::shared_ptr<cancellation>> cancels;
     std::size_t placements = 0;
@@ -65,7 +65,7 @@
         std::erase_if(tried, [this](std::uint64_t instance) {
             return std::find(slow.begin(), slow.end(), instance) != slow.end();
         });
-        settled_for_slow = true;
+        slow_members_allowed = true;
         return !std::exchange(slow, {}).empty();
     }
 };
--- a/lib/node/dispatcher.cpp
+++ b/lib/node/dispatcher.cpp
@@ -241,7 +241,7 @@
         }
         ++running->placements;
         running->tried.push_back(target->node.instance);
-        movable = !by_class && !running->settled_for_slow && running->placements < move_limit;
+        movable = !by_class && !running->slow_members_allowed && running->placements < move_limit;
         running->cancels.push_back(cancel);
         ++running->running;
     }
