--- a/include/chestnutstand/node/ingress.h
+++ b/include/chestnutstand/node/ingress.h
@@ -63,7 +63,7 @@
     /// Numbers the requests for their positions in splits.
     std::atomic<std::uint64_t> next_position_ = 0;
     /// Numbers the requests for the times at which refused callers come back.
-    std::atomic<std::uint64_t> next_return_ = 0;
+    std::atomic<std::uint64_t> next_retry_after_ = 0;
     std::atomic<std::uint32_t> in_flight_ = 0;
     std::atomic<bool> draining_ = false;
     std::atomic<bool> refusing_ = false;
--- a/lib/node/ingress.cpp
+++ b/lib/node/ingress.cpp
@@ -158,7 +158,7 @@
     call.cancel = response->disconnected();
     latency_histogram& latency = stats_.call_latency(call.service, call.priority);
     const auto retry_after =
-        retry_delay(target_of(*in_force, call), split_position(next_return_++));
+        retry_delay(target_of(*in_force, call), split_position(next_retry_after_++));
     dispatcher_.dispatch(call, [this, response, start, &latency, retry_after](call_result result) {
         latency.record(ms_clock::now() - start);
         send(*response, make_routed_response(std::move(result), retry_after));
