--- a/lib/node/key_router.cpp
+++ b/lib/node/key_router.cpp
@@ -9,7 +9,7 @@
 
 /// Part of the time left that is kept for a settlement when the owner does not reply.
 constexpr double settlement_share = 0.25;
-constexpr milliseconds longest_settlement{2'000};
+constexpr milliseconds max_settlement_time{2'000};
 
 } // namespace
 
@@ -59,7 +59,7 @@
     service_call forwarded = call;
     forwarded.cancel = nullptr;
     const milliseconds left = call.deadline - ms_clock::now();
-    forwarded.deadline -= std::min(left * settlement_share, longest_settlement);
+    forwarded.deadline -= std::min(left * settlement_share, max_settlement_time);
     peers_.forward(key->owner, forwarded, query_only,
                    [self = shared_from_this(), call, query_only, done](call_result result) {
                        if (result.outcome == call_outcome::unknown &&
