--- a/lib/node/ingress.cpp
+++ b/lib/node/ingress.cpp
@@ -23,7 +23,7 @@
 constexpr std::size_t max_logged_target = 200;
 constexpr std::size_t max_keys_per_request = 1'000;
 /// Time that a query may take to reach the owner or to settle the key.
-constexpr milliseconds query_limit{2'000};
+constexpr milliseconds query_timeout{2'000};
 
 struct key_request {
     std::string service;
@@ -131,7 +131,7 @@
     }
     service_call call;
     call.idempotency_key = std::string{*key};
-    call.deadline = ms_clock::now() + query_limit;
+    call.deadline = ms_clock::now() + query_timeout;
     keys_->query(call, [this, response](call_result result) {
         send(*response, make_response(std::move(result)));
         --in_flight_;
