--- a/lib/node/ingress.cpp
+++ b/lib/node/ingress.cpp
@@ -65,7 +65,7 @@
 }
 
 /// Latency target of the class of a parsed call.
-milliseconds target_of(const document& in_force, const service_call& call)
+milliseconds latency_target_of(const document& in_force, const service_call& call)
 {
     const auto* service = in_force.find_service(call.service);
     const auto* priority = service != nullptr ? service->find_priority(call.priority) : nullptr;
@@ -158,7 +158,7 @@
     call.cancel = response->disconnected();
     latency_histogram& latency = stats_.call_latency(call.service, call.priority);
     const auto retry_after =
-        retry_delay(target_of(*in_force, call), split_position(next_retry_after_++));
+        retry_delay(latency_target_of(*in_force, call), split_position(next_retry_after_++));
     dispatcher_.dispatch(call, [this, response, start, &latency, retry_after](call_result result) {
         latency.record(ms_clock::now() - start);
         send(*response, make_routed_response(std::move(result), retry_after));
