--- a/lib/node/dispatcher.cpp
+++ b/lib/node/dispatcher.cpp
@@ -292,7 +292,7 @@
 void dispatcher::core::finish_attempt(const call_state& running, std::uint32_t carried,
                                       std::uint64_t member, call_result result)
 {
-    const bool is_last_word = is_final(*running, result);
+    const bool ends_call = is_final(*running, result);
     {
         const std::lock_guard lock{running->mutex};
         --running->running;
@@ -307,15 +307,15 @@
         if (!reached_upstream(result)) {
             running->budget.give_back(carried);
         }
-        running->finished = is_last_word;
-        if (!is_last_word) {
+        running->finished = ends_call;
+        if (!ends_call) {
             keep_failure(*running, result);
             if (running->running > 0) {
                 return;
             }
         }
     }
-    if (is_last_word) {
+    if (ends_call) {
         answer(*running, std::move(result));
         end_other_attempts(*running);
         return;
