--- a/unittests/node/routed_dispatch_test.cpp
+++ b/unittests/node/routed_dispatch_test.cpp
@@ -28,7 +28,7 @@
     }
 
     /// Refuses movable calls as a slow upstream does; the others get the answer.
-    void be_slow_everywhere()
+    void refuse_movable_calls()
     {
         ON_CALL(peers_, execute(_, _, _))
             .WillByDefault([this](const node_reference& target, const service_call& call,
@@ -46,7 +46,7 @@
 // Guards against a call that is refused everywhere because all upstreams are slow for a moment.
 TEST_F(routed_dispatch, waits_for_a_slow_upstream_when_all_are_slow)
 {
-    be_slow_everywhere();
+    refuse_movable_calls();
     EXPECT_EQ(run_routed(repeatability::at_most_once).outcome, call_outcome::completed);
     EXPECT_EQ(attempts_.size(), 4U);
 }
