--- a/unittests/node/routed_dispatch_test.cpp
+++ b/unittests/node/routed_dispatch_test.cpp
@@ -103,7 +103,7 @@
 class settled_dispatch : public routed_dispatch {
 protected:
     /// Loses the answer of the first attempt; the executor then says the given about it.
-    call_result run_with_lost_answer(const absl::StatusOr<settle_result>& known)
+    call_result run_with_lost_response(const absl::StatusOr<settle_result>& known)
     {
         ON_CALL(peers_, settle(_, _, _, _))
             .WillByDefault([known](const node_reference&, const std::string& key, milliseconds,
@@ -121,8 +121,8 @@
 // Guards against a call that is given up although it has provably not run.
 TEST_F(settled_dispatch, places_a_fenced_call_elsewhere)
 {
-    const auto result =
-        run_with_lost_answer(settle_result{settle_state::fenced, {}, reason_code::key_fenced, {}});
+    const auto result = run_with_lost_response(
+        settle_result{settle_state::fenced, {}, reason_code::key_fenced, {}});
     EXPECT_EQ(result.outcome, call_outcome::completed);
     EXPECT_EQ(attempts_.size(), 2U);
 }
@@ -130,7 +130,7 @@
 // Guards against an answer that is lost although the executor still has it.
 TEST_F(settled_dispatch, delivers_the_answer_that_the_executor_kept)
 {
-    const auto result = run_with_lost_answer(
+    const auto result = run_with_lost_response(
         settle_result{settle_state::completed, {201, {}, "kept"}, reason_code::none, {}});
     EXPECT_EQ(result.outcome, call_outcome::completed);
     EXPECT_EQ(result.response.body, "kept");
@@ -143,12 +143,13 @@
     for (const auto state :
          {settle_state::running, settle_state::unknown, settle_state::wrong_instance}) {
         attempts_.clear();
-        const auto result = run_with_lost_answer(settle_result{state, {}, reason_code::none, {}});
+        const auto result = run_with_lost_response(settle_result{state, {}, reason_code::none, {}});
         EXPECT_EQ(result.outcome, call_outcome::unknown);
         EXPECT_EQ(attempts_.size(), 1U);
     }
     attempts_.clear();
-    EXPECT_EQ(run_with_lost_answer(absl::UnavailableError("gone")).outcome, call_outcome::unknown);
+    EXPECT_EQ(run_with_lost_response(absl::UnavailableError("gone")).outcome,
+              call_outcome::unknown);
 }
 
 } // namespace
