--- a/lib/node/attempt_result.h
+++ b/lib/node/attempt_result.h
@@ -23,7 +23,7 @@
 }
 
 /// Whether a complete response says that another attempt may do better.
-inline bool transient_failure(const http_response& response)
+inline bool is_transient_failure(const http_response& response)
 {
     return response.status == 502 || response.status == 503 || response.status == 504;
 }
--- a/lib/node/dispatcher.cpp
+++ b/lib/node/dispatcher.cpp
@@ -41,7 +41,7 @@
 bool is_final(const dispatched_call& running, const call_result& result)
 {
     return result.outcome == call_outcome::completed &&
-           !(running.idempotent && transient_failure(result.response));
+           !(running.idempotent && is_transient_failure(result.response));
 }
 
 /// Keeps the result to report when no further attempt does better. An attempt that may have run
