--- a/lib/node/dispatcher.cpp
+++ b/lib/node/dispatcher.cpp
@@ -78,7 +78,7 @@
 }
 
 /// Ends attempts that lost against a hedge; their upstreams need not finish them.
-void end_other_attempts(dispatched_call& running)
+void cancel_other_attempts(dispatched_call& running)
 {
     std::vector<std::shared_ptr<cancellation>> cancels;
     {
@@ -317,7 +317,7 @@
     }
     if (ends_call) {
         answer(*running, std::move(result));
-        end_other_attempts(*running);
+        cancel_other_attempts(*running);
         return;
     }
     if (retry(running, result)) {
