--- a/include/chestnutstand/routing/retry_budget.h
+++ b/include/chestnutstand/routing/retry_budget.h
@@ -91,7 +91,7 @@
 };
 
 /// Highest retry budget of a call tree; a higher one that a caller sends counts as this.
-inline constexpr std::uint32_t largest_tree_budget = 8;
+inline constexpr std::uint32_t max_tree_budget = 8;
 
 /// The part of a call tree's retry budget that one dispatched call holds.
 ///
--- a/lib/node/dispatched_call.h
+++ b/lib/node/dispatched_call.h
@@ -22,7 +22,7 @@
 struct dispatched_call {
     dispatched_call(const service_call& given, call_done callback, bool may_repeat)
         : call{given}, done{std::move(callback)},
-          idempotent{may_repeat}, budget{std::min(given.retry_budget, largest_tree_budget)}
+          idempotent{may_repeat}, budget{std::min(given.retry_budget, max_tree_budget)}
     {
     }
 
