--- a/include/chestnutstand/routing/retry_budget.h
+++ b/include/chestnutstand/routing/retry_budget.h
@@ -46,7 +46,7 @@
     /// Retries that can be saved up; also the most that a sudden failure can cause at once.
     static constexpr double most_saved = 20.0;
     /// Saved at the start, so that the first calls of a node can survive the loss of a member.
-    static constexpr double saved_at_start = 2.0;
+    static constexpr double initial_tokens = 2.0;
 
     explicit retry_budget(time_point now) : refilled_{now} {}
 
@@ -86,7 +86,7 @@
     }
 
     std::optional<retry_share> share_;
-    double saved_ = saved_at_start;
+    double saved_ = initial_tokens;
     time_point refilled_;
 };
 
--- a/unittests/node/dispatcher_test.cpp
+++ b/unittests/node/dispatcher_test.cpp
@@ -98,7 +98,7 @@
     for (int i = 0; i < 1000; ++i) {
         EXPECT_EQ(run().outcome, call_outcome::not_run);
     }
-    EXPECT_LE(attempts_.size(), 1000 + static_cast<std::size_t>(retry_budget::saved_at_start));
+    EXPECT_LE(attempts_.size(), 1000 + static_cast<std::size_t>(retry_budget::initial_tokens));
     EXPECT_GT(counters_.value(reason_event::refused, reason_code::retry_budget_exhausted), 900U);
 }
 
