--- a/include/chestnutstand/routing/retry_budget.h
+++ b/include/chestnutstand/routing/retry_budget.h
@@ -23,7 +23,7 @@
     /// Earned with each successful call.
     double ratio = 0.0;
     /// Earned per second without any call.
-    double floor_per_s = 0.0;
+    double min_retries_per_s = 0.0;
     /// Most that can be saved up.
     double most_saved = 0.0;
 };
@@ -42,7 +42,7 @@
 class retry_budget {
 public:
     /// Retries per second that are allowed without any successful call.
-    static constexpr double floor_per_s = 1.0;
+    static constexpr double min_retries_per_s = 1.0;
     /// Retries that can be saved up; also the most that a sudden failure can cause at once.
     static constexpr double most_saved = 20.0;
     /// Saved at the start, so that the first calls of a node can survive the loss of a member.
@@ -63,7 +63,7 @@
     bool try_take(time_point now)
     {
         if (now > refilled_) {
-            const double rate = share_ ? share_->floor_per_s : floor_per_s;
+            const double rate = share_ ? share_->min_retries_per_s : min_retries_per_s;
             earn((now - refilled_).count() * rate / 1000);
             refilled_ = now;
         }
--- a/tests/integration/routing_test.cpp
+++ b/tests/integration/routing_test.cpp
@@ -112,7 +112,7 @@
     // No call succeeds, so that each of the three nodes has only what it started with and the
     // floor.
     const double retries =
-        3.0 * (retry_budget::initial_tokens + retry_budget::floor_per_s * seconds);
+        3.0 * (retry_budget::initial_tokens + retry_budget::min_retries_per_s * seconds);
     EXPECT_LE(static_cast<double>(attempts), calls + retries);
 }
 
--- a/unittests/routing/retry_budget_test.cpp
+++ b/unittests/routing/retry_budget_test.cpp
@@ -32,7 +32,7 @@
                 retries += budget.try_take(now) ? 1.0 : 0.0;
             }
             const double allowed = retry_budget::initial_tokens + ratio * successes +
-                                   retry_budget::floor_per_s * elapsed_ms / 1000.0;
+                                   retry_budget::min_retries_per_s * elapsed_ms / 1000.0;
             RC_ASSERT(retries <= allowed + 1e-6);
         }
     }));
