--- a/include/chestnutstand/routing/retry_budget.h
+++ b/include/chestnutstand/routing/retry_budget.h
@@ -25,7 +25,7 @@
     /// Earned per second without any call.
     double min_retries_per_s = 0.0;
     /// Most that can be saved up.
-    double most_saved = 0.0;
+    double max_tokens = 0.0;
 };
 
 /// Share of one of the given number of nodes, when no node knows what the others spend. Half of the
@@ -44,7 +44,7 @@
     /// Retries per second that are allowed without any successful call.
     static constexpr double min_retries_per_s = 1.0;
     /// Retries that can be saved up; also the most that a sudden failure can cause at once.
-    static constexpr double most_saved = 20.0;
+    static constexpr double max_tokens = 20.0;
     /// Saved at the start, so that the first calls of a node can survive the loss of a member.
     static constexpr double initial_tokens = 2.0;
 
@@ -54,7 +54,7 @@
     void set_share(const retry_share& share)
     {
         share_ = share;
-        saved_ = std::min(saved_, std::max(1.0, share.most_saved));
+        saved_ = std::min(saved_, std::max(1.0, share.max_tokens));
     }
 
     void record_success(double ratio) { earn(share_ ? share_->ratio : ratio); }
@@ -81,7 +81,7 @@
     void earn(double amount)
     {
         // One retry must be affordable, however many nodes share the limits.
-        const double most = share_ ? std::max(1.0, share_->most_saved) : most_saved;
+        const double most = share_ ? std::max(1.0, share_->max_tokens) : max_tokens;
         saved_ = std::min(most, saved_ + amount);
     }
 
--- a/unittests/routing/retry_budget_test.cpp
+++ b/unittests/routing/retry_budget_test.cpp
@@ -50,7 +50,7 @@
     while (budget.try_take(now)) {
         taken += 1.0;
     }
-    EXPECT_EQ(taken, retry_budget::most_saved);
+    EXPECT_EQ(taken, retry_budget::max_tokens);
 }
 
 /// A tree of calls in which every attempt may fail in any way. The upstream of a call copies the
