--- a/benchmarks/replay_benchmark.cpp
+++ b/benchmarks/replay_benchmark.cpp
@@ -40,7 +40,7 @@
 
 void print_row(const pattern& load, const variant& played, std::uint64_t seeds)
 {
-    const world described = refund_desk();
+    const replay_settings described = refund_desk();
     std::vector<kind_result> sums(described.kinds.size());
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         const auto results = model{described, played.chosen, seed}.play(load);
--- a/unittests/replay/patterns.cpp
+++ b/unittests/replay/patterns.cpp
@@ -99,9 +99,9 @@
 
 } // namespace
 
-world refund_desk()
+replay_settings refund_desk()
 {
-    world described;
+    replay_settings described;
     described.kinds = {{"urgent", milliseconds{60}, 8.0, milliseconds{10}, 0.15},
                        {"normal", milliseconds{200}, 3.0, milliseconds{40}, 0.3},
                        {"batch", milliseconds{1'500}, 1.0, milliseconds{150}, 0.15}};
--- a/unittests/replay/replay_model.cpp
+++ b/unittests/replay/replay_model.cpp
@@ -34,7 +34,7 @@
     std::shared_ptr<cancellation> cancel;
 };
 
-model::model(world described, const policies& chosen, std::uint64_t seed)
+model::model(replay_settings described, const policies& chosen, std::uint64_t seed)
     : world_{std::move(described)}, policies_{chosen}, random_{seed},
       bursts_(world_.kinds.size(), 1.0), results_(world_.kinds.size())
 {
@@ -230,7 +230,7 @@
     }
 }
 
-kind_result total(const world& described, const policies& chosen, const pattern& load,
+kind_result total(const replay_settings& described, const policies& chosen, const pattern& load,
                   std::uint64_t seeds)
 {
     kind_result sum;
--- a/unittests/replay/replay_model.h
+++ b/unittests/replay/replay_model.h
@@ -35,7 +35,7 @@
     double held_ms = 0.0;
 };
 
-struct world {
+struct replay_settings {
     std::size_t upstreams = 8;
     std::size_t data_centres = 2;
     std::size_t dispatchers = 4;
@@ -60,7 +60,7 @@
 /// time; the same for a seed.
 class model {
 public:
-    model(world described, const policies& chosen, std::uint64_t seed);
+    model(replay_settings described, const policies& chosen, std::uint64_t seed);
 
     /// Plays 4 s of warm-up and 10 s that count; patterns act from the start of the latter.
     std::vector<kind_result> play(const pattern& load);
@@ -99,7 +99,7 @@
     bool counts() const { return loop_.now() >= start_ + warm_up && !ended_; }
 
     event_loop loop_;
-    world world_;
+    replay_settings world_;
     policies policies_;
     std::mt19937_64 random_;
     std::vector<std::mt19937_64> arrivals_;
@@ -118,14 +118,14 @@
 };
 
 /// Refund desk: an urgent, a normal and a batch kind on the same upstreams.
-world refund_desk();
+replay_settings refund_desk();
 
 /// The load patterns by name, the calm one first.
 const std::vector<pattern>& patterns();
 const pattern& find_pattern(const std::string& name);
 
 /// Sums over the kinds and over the seeds 1 to count.
-kind_result total(const world& described, const policies& chosen, const pattern& load,
+kind_result total(const replay_settings& described, const policies& chosen, const pattern& load,
                   std::uint64_t seeds);
 
 } // namespace chestnutstand::replay
--- a/unittests/replay/replay_test.cpp
+++ b/unittests/replay/replay_test.cpp
@@ -16,7 +16,7 @@
     const char* decision;
     const char* pattern;
     void (*replace)(policies&);
-    void (*prepare)(world&);
+    void (*prepare)(replay_settings&);
 };
 
 std::ostream& operator<<(std::ostream& out, const gain& shown)
@@ -26,7 +26,7 @@
 
 double in_target(const gain& compared, const policies& chosen, const std::string& pattern)
 {
-    world described = refund_desk();
+    replay_settings described = refund_desk();
     compared.prepare(described);
     const auto sum = total(described, chosen, find_pattern(pattern), seeds);
     return static_cast<double>(sum.in_target) / static_cast<double>(sum.offered);
@@ -58,7 +58,7 @@
               in_target(compared, before(), "calm") - price_when_calm);
 }
 
-constexpr auto ordinary_world = [](world&) {};
+constexpr auto ordinary_world = [](replay_settings&) {};
 constexpr auto by_arrival = [](policies& chosen) { chosen.by_urgency = false; };
 constexpr auto random_placement = [](policies& chosen) { chosen.balancing = "random"; };
 
@@ -77,7 +77,7 @@
              [](policies& chosen) { chosen.return_in_target = false; }, ordinary_world},
         gain{"abandoned requests removed", "burst of one kind",
              [](policies& chosen) { chosen.cancel_abandoned = false; },
-             [](world& described) { described.leaving_share = 0.3; }},
+             [](replay_settings& described) { described.leaving_share = 0.3; }},
         gain{"placement by load", "slow upstream", random_placement, ordinary_world},
         gain{"placement by load", "cold starts", random_placement, ordinary_world},
         gain{"placement by load", "silent nodes", random_placement, ordinary_world},
