--- a/benchmarks/replay_benchmark.cpp
+++ b/benchmarks/replay_benchmark.cpp
@@ -32,7 +32,7 @@
     add("fixed limit", [](policies& without) { without.adaptive_limit = false; });
     add("all rejections lower the limit",
         [](policies& without) { without.spare_free_slots = false; });
-    add("return after 1 s", [](policies& without) { without.return_in_target = false; });
+    add("return after 1 s", [](policies& without) { without.retry_within_target = false; });
     add("abandoned requests run", [](policies& without) { without.cancel_abandoned = false; });
     add("random placement", [](policies& without) { without.balancing = "random"; });
     return all;
--- a/unittests/replay/replay_member.h
+++ b/unittests/replay/replay_member.h
@@ -24,7 +24,7 @@
     /// Rejections by an upstream with free slots do not lower that number.
     bool spare_free_slots = true;
     /// Refused callers are asked back within their latency target; otherwise after a second.
-    bool return_in_target = true;
+    bool retry_within_target = true;
     /// Requests of callers that have left are taken out of the queues.
     bool cancel_abandoned = true;
     std::string balancing = "two_choices";
--- a/unittests/replay/replay_model.cpp
+++ b/unittests/replay/replay_model.cpp
@@ -189,8 +189,9 @@
     who->held += held;
     if (result.outcome == call_outcome::not_run && who->returns < world_.returns) {
         std::uniform_real_distribution<double> position{0.0, 1.0};
-        milliseconds pause =
-            policies_.return_in_target ? retry_delay(what.target, position(random_)) : fixed_return;
+        milliseconds pause = policies_.retry_within_target
+                                 ? retry_delay(what.target, position(random_))
+                                 : fixed_return;
         pause = world_.repeat_at_once ? milliseconds{1} : pause;
         ++who->returns;
         loop_.after(pause, [this, who] {
--- a/unittests/replay/replay_test.cpp
+++ b/unittests/replay/replay_test.cpp
@@ -74,7 +74,7 @@
         gain{"free slots spared", "rejections with free slots",
              [](policies& chosen) { chosen.spare_free_slots = false; }, ordinary_world},
         gain{"return within the target", "burst of one kind",
-             [](policies& chosen) { chosen.return_in_target = false; }, ordinary_world},
+             [](policies& chosen) { chosen.retry_within_target = false; }, ordinary_world},
         gain{"abandoned requests removed", "burst of one kind",
              [](policies& chosen) { chosen.cancel_abandoned = false; },
              [](replay_settings& described) { described.leaving_share = 0.3; }},
