--- a/benchmarks/replay_benchmark.cpp
+++ b/benchmarks/replay_benchmark.cpp
@@ -31,7 +31,7 @@
     add("pace ignored", [](policies& without) { without.follow_pace = false; });
     add("fixed limit", [](policies& without) { without.adaptive_limit = false; });
     add("all rejections lower the limit",
-        [](policies& without) { without.spare_free_slots = false; });
+        [](policies& without) { without.ignore_rejections_with_free_slots = false; });
     add("return after 1 s", [](policies& without) { without.retry_within_target = false; });
     add("abandoned requests run", [](policies& without) { without.cancel_abandoned = false; });
     add("random placement", [](policies& without) { without.balancing = "random"; });
--- a/unittests/replay/replay_member.cpp
+++ b/unittests/replay/replay_member.cpp
@@ -155,7 +155,8 @@
     if (status == status_rejected) {
         result = not_run(reason_code::upstream_refused);
         const bool has_room = busy_ < slots;
-        const bool counts = policies_.adaptive_limit && (!has_room || !policies_.spare_free_slots);
+        const bool counts =
+            policies_.adaptive_limit && (!has_room || !policies_.ignore_rejections_with_free_slots);
         finish(id, {counts ? sample_kind::shed : sample_kind::uninformative, elapsed}, result);
         return;
     }
--- a/unittests/replay/replay_member.h
+++ b/unittests/replay/replay_member.h
@@ -22,7 +22,7 @@
     /// The number of running requests follows latencies and rejections; otherwise it is the slots.
     bool adaptive_limit = true;
     /// Rejections by an upstream with free slots do not lower that number.
-    bool spare_free_slots = true;
+    bool ignore_rejections_with_free_slots = true;
     /// Refused callers are asked back within their latency target; otherwise after a second.
     bool retry_within_target = true;
     /// Requests of callers that have left are taken out of the queues.
