--- a/benchmarks/replay_benchmark.cpp
+++ b/benchmarks/replay_benchmark.cpp
@@ -51,7 +51,7 @@
             sums[i].refused_at_once += results[i].refused_at_once;
             sums[i].refused_after_waiting += results[i].refused_after_waiting;
             sums[i].failed += results[i].failed;
-            sums[i].held_ms += results[i].held_ms;
+            sums[i].wasted_wait_ms += results[i].wasted_wait_ms;
         }
     }
     for (std::size_t i = 0; i < sums.size(); ++i) {
@@ -63,7 +63,7 @@
                     static_cast<unsigned long long>(sums[i].offered), percent(sums[i].in_target),
                     percent(sums[i].late), percent(sums[i].refused_at_once),
                     percent(sums[i].refused_after_waiting), percent(sums[i].failed),
-                    sums[i].held_ms / 1'000.0);
+                    sums[i].wasted_wait_ms / 1'000.0);
     }
     std::fflush(stdout);
 }
--- a/unittests/replay/replay_model.cpp
+++ b/unittests/replay/replay_model.cpp
@@ -210,7 +210,7 @@
         ++(elapsed <= what.target ? sums.in_target : sums.late);
         return;
     }
-    sums.held_ms += who->held.count();
+    sums.wasted_wait_ms += who->held.count();
     if (result.outcome == call_outcome::not_run) {
         ++(held <= what.target * at_once_share ? sums.refused_at_once : sums.refused_after_waiting);
         return;
@@ -244,7 +244,7 @@
             sum.refused_after_waiting += each.refused_after_waiting;
             sum.failed += each.failed;
             sum.left += each.left;
-            sum.held_ms += each.held_ms;
+            sum.wasted_wait_ms += each.wasted_wait_ms;
         }
     }
     return sum;
--- a/unittests/replay/replay_model.h
+++ b/unittests/replay/replay_model.h
@@ -32,7 +32,7 @@
     std::uint64_t failed = 0;
     std::uint64_t left = 0;
     /// Time that requests without an answer of an upstream were held.
-    double held_ms = 0.0;
+    double wasted_wait_ms = 0.0;
 };
 
 struct replay_settings {
--- a/unittests/replay/replay_test.cpp
+++ b/unittests/replay/replay_test.cpp
@@ -93,7 +93,7 @@
     const auto second = total(refund_desk(), {}, load, 1);
     EXPECT_EQ(first.offered, second.offered);
     EXPECT_EQ(first.in_target, second.in_target);
-    EXPECT_EQ(first.held_ms, second.held_ms);
+    EXPECT_EQ(first.wasted_wait_ms, second.wasted_wait_ms);
 }
 
 // Guards against requests that the model loses or counts twice.
