--- a/lib/config/change_replay.cpp
+++ b/lib/config/change_replay.cpp
@@ -21,6 +21,11 @@
     return offset + 1;
 }
 
+std::uint64_t offset_after(std::uint64_t offset)
+{
+    return offset + 1;
+}
+
 section to_section(const wire::SectionState& state)
 {
     return {state.section(), state.owner(), state.version(), state.content()};
@@ -242,7 +247,7 @@
         return verdict;
     }
     verdict.result = replay_result::checkpoint_confirmed;
-    oldest_needed_offset_ = std::max(oldest_needed_offset_, covered + 1);
+    oldest_needed_offset_ = std::max(oldest_needed_offset_, offset_after(covered));
     return verdict;
 }
 
@@ -265,7 +270,7 @@
 
 absl::Status change_replay::check_adoptable(const wire::Checkpoint& checkpoint) const
 {
-    if (checkpoint.covered_offset() + 1 <= next_offset_) {
+    if (offset_after(checkpoint.covered_offset()) <= next_offset_) {
         return absl::FailedPreconditionError(
             "the checkpoint covers no records beyond those replayed");
     }
@@ -310,7 +315,7 @@
         add_recent_change(to_recent_change(change));
     }
     version_ = checkpoint.version();
-    next_offset_ = checkpoint.covered_offset() + 1;
+    next_offset_ = offset_after(checkpoint.covered_offset());
     oldest_needed_offset_ = std::min(checkpoint.oldest_needed_offset(), next_offset_);
     state_digests_.clear();
     record_state_digest();
@@ -416,8 +421,8 @@
             continue;
         }
         const auto& checkpoint = record.checkpoint();
-        const bool is_replayable =
-            checkpoint.covered_offset() < offset && checkpoint.covered_offset() + 1 >= first_offset;
+        const bool is_replayable = checkpoint.covered_offset() < offset &&
+                                   offset_after(checkpoint.covered_offset()) >= first_offset;
         if (is_replayable && check_consistent(checkpoint).ok()) {
             return &checkpoint;
         }
