--- a/lib/config/config_service.cpp
+++ b/lib/config/config_service.cpp
@@ -338,12 +338,11 @@
     if (found == publishes_.end() || found->second.number != number) {
         return;
     }
-    complete_publish(
-        change_id,
-        absl::DeadlineExceededError(str_cat(
-            "no verdict within ", options_.publish_wait.count(),
-            " ms because the log service did not respond; the change may still ",
-            "take effect, publish it again with change id ", change_id, " to get the verdict")));
+    complete_publish(change_id, absl::DeadlineExceededError(str_cat(
+                                    "no verdict within ", options_.publish_wait.count(),
+                                    " ms because the log did not answer; the change may still ",
+                                    "take effect, publish it again with change id ", change_id,
+                                    " to learn the verdict")));
 }
 
 void config_service::complete_publishes()
--- a/lib/keys/executor_keys.cpp
+++ b/lib/keys/executor_keys.cpp
@@ -99,7 +99,7 @@
     case key_state::absent:
         break;
     }
-    return absl::ResourceExhaustedError("key table is full; the key was not fenced");
+    return absl::ResourceExhaustedError("no space to fence the key");
 }
 
 } // namespace chestnutstand
--- a/lib/keys/key_owner.cpp
+++ b/lib/keys/key_owner.cpp
@@ -51,7 +51,7 @@
         idempotency_key key{options_.self, selection_.choose(service), 0,
                             environment_.now() - started_, service};
         if (key.candidates.empty()) {
-            return absl::UnavailableError("no upstream is available for service " + service);
+            return absl::UnavailableError("no upstream of the service " + service);
         }
         key.candidates.resize(std::min(key.candidates.size(), max_key_candidates));
         {
--- a/lib/node/admin_api.cpp
+++ b/lib/node/admin_api.cpp
@@ -326,8 +326,7 @@
 {
     auto* service = node_.find<config_service>();
     if (service == nullptr) {
-        response->send(
-            error_response(404, "this node does not read its configuration from a change log"));
+        response->send(error_response(404, "the document is not a log of changes"));
         return;
     }
     node_.control().post([service, response] {
@@ -360,8 +359,7 @@
     }
     auto* service = node_.find<config_service>();
     if (service == nullptr) {
-        response->send(
-            error_response(404, "this node does not read its configuration from a change log"));
+        response->send(error_response(404, "the document is not a log of changes"));
         return;
     }
     section_change change{*id, *team, *section, *base, *content};
--- a/lib/transport/http_node_server.cpp
+++ b/lib/transport/http_node_server.cpp
@@ -78,7 +78,7 @@
             members(request, response);
         }
         else {
-            response->send({status_not_found, {}, "unknown node request path"});
+            response->send({status_not_found, {}, "no such call"});
         }
     }
 
@@ -91,8 +91,7 @@
         if (message.ParseFromString(request.body)) {
             return true;
         }
-        response->send(
-            {status_bad_request, {}, "the request body is not a valid Protobuf message"});
+        response->send({status_bad_request, {}, "the message is not readable"});
         return false;
     }
 
--- a/lib/transport/request_framer.cpp
+++ b/lib/transport/request_framer.cpp
@@ -272,7 +272,7 @@
     if (const auto expected = find_header(request.headers, "expect")) {
         if (!header_name_equal(*expected, "100-continue")) {
             return request_refusal{status_expectation_failed, reason_code::malformed_request,
-                                   "the only supported expectation is 100-continue",
+                                   "the only expectation that is met is 100-continue",
                                    request.headers};
         }
         result.expects_continue = result.body_bytes > 0 || result.chunks;
@@ -287,11 +287,11 @@
     const std::size_t lengths = count_headers(request, "content-length");
     if (count_headers(request, "transfer-encoding") > 0) {
         if (lengths > 0) {
-            return malformed("a request must not have both Content-Length and Transfer-Encoding");
+            return malformed("Content-Length and Transfer-Encoding exclude each other");
         }
         if (count_headers(request, "transfer-encoding") > 1 ||
             !header_name_equal(*find_header(request.headers, "transfer-encoding"), "chunked")) {
-            return malformed("the only supported transfer encoding is chunked");
+            return malformed("the only transfer encoding that is read is chunked");
         }
         result.chunks.emplace(max_body_bytes_);
         return std::nullopt;
--- a/lib/transport/server_transport.cpp
+++ b/lib/transport/server_transport.cpp
@@ -263,9 +263,8 @@
 void server_transport::handle_timeout(connection& client)
 {
     if (client.in_request && !client.writing && !client.closing) {
-        refuse(client,
-               client.framer.refuse_incomplete(status_request_timeout,
-                                               "the request was not complete before its timeout"));
+        refuse(client, client.framer.refuse_incomplete(status_request_timeout,
+                                                       "the request was not complete in time"));
         return;
     }
     pending_close_.push_back(client.peer->getID());
