--- a/soak/callers.h
+++ b/soak/callers.h
@@ -10,20 +10,20 @@
 
 namespace chestnutstand::soak {
 
-/// Callers that keep their connections open, and a reader of the nodes' versions. Threads run until
-/// stop() is called.
+/// Threads that call the nodes over persistent connections, and one that polls the config version
+/// of each node. They run until stop() is called.
 class callers {
 public:
-    /// The start is the zero of all recorded times.
-    callers(deployment& all, std::uint64_t seed, std::size_t threads, time_point start);
+    /// Recorded times are relative to `start`.
+    callers(deployment& cluster, std::uint64_t seed, std::size_t threads, time_point start);
     ~callers();
 
     void stop();
 
-    /// Calls each route through each node once; whether all were served.
+    /// Sends a call for each service to each node; returns whether all got status 200.
     bool all_served();
 
-    /// What was recorded; after stop.
+    /// Records of the run; valid after stop().
     const std::vector<call_record>& calls() const { return calls_; }
     const std::vector<version_record>& versions() const { return versions_; }
 
@@ -31,17 +31,17 @@
     void run(std::size_t caller, std::uint64_t seed);
     call_record call(http_client& client, const std::string& id, std::size_t node,
                      const std::string& service, bool repeatable) const;
-    void read_versions();
+    void poll_versions();
     double elapsed() const { return (ms_clock::now() - start_).count(); }
 
-    deployment& all_;
+    deployment& cluster_;
     time_point start_;
     std::atomic<bool> stopped_ = false;
     std::mutex mutex_;
     std::vector<call_record> calls_;
     std::vector<version_record> versions_;
     std::unique_ptr<http_client> probe_client_ = make_http_client();
-    std::size_t probes_ = 0;
+    std::size_t probe_count_ = 0;
     std::vector<std::thread> threads_;
 };
 
--- a/soak/datagram_relay.h
+++ b/soak/datagram_relay.h
@@ -9,23 +9,25 @@
 
 namespace chestnutstand::soak {
 
-/// What happens to datagrams.
+/// Faults that the relay injects.
 struct datagram_faults {
-    /// Share that is lost; 1 cuts the way.
+    /// Probability of losing a datagram; at 1 all are lost.
     double loss = 0.0;
     milliseconds delay{0};
 };
 
-/// Passes datagrams on to a port on loopback. Its thread lives until the process ends.
+/// Forwards datagrams to a port on loopback. Its thread uses the relay until the process exits, so
+/// it must not be destroyed.
 class datagram_relay {
 public:
-    datagram_relay(const socket_address& listen_at, std::uint16_t target_port, std::uint64_t seed);
+    datagram_relay(const socket_address& listen_address, std::uint16_t target_port,
+                   std::uint64_t seed);
 
     void set_faults(const datagram_faults& faults);
 
 private:
     void receive();
-    void pass_on(const std::string& payload) const;
+    void forward(const std::string& payload) const;
 
     int socket_ = -1;
     std::uint16_t target_port_ = 0;
--- a/soak/deployment.h
+++ b/soak/deployment.h
@@ -16,8 +16,8 @@
 
 namespace chestnutstand::soak {
 
-/// A node, the upstream beside it, and a relay on each of its links. The relays stay until the
-/// process ends, as their threads do.
+/// A node, the upstream beside it, and a relay on each of its links. The relays are never deleted
+/// because their threads use them until the process exits.
 struct soak_node {
     std::size_t index = 0;
     std::string data_centre;
@@ -27,29 +27,30 @@
     testing::relay* caller_link = nullptr;
     testing::relay* upstream_link = nullptr;
     testing::relay* store_link = nullptr;
-    /// Where the upstream registers; never disturbed.
+    /// Used by the upstream to register; gets no faults.
     testing::relay* admin_link = nullptr;
-    // Each start of a node has new ports.
+    // Replaced at each start of the node, which takes new ports.
     testing::relay* node_link = nullptr;
     datagram_relay* gossip_link = nullptr;
     std::atomic<std::uint16_t> admin_port = 0;
     std::atomic<std::uint16_t> upstream_port = 0;
-    /// Counts the starts of the node.
-    std::atomic<std::size_t> life = 0;
+    /// Number of starts of the node so far.
+    std::atomic<std::size_t> start_count = 0;
 };
 
 /// The processes of a run: nodes that find each other through a store, all on loopback, with relays
 /// between them.
 class deployment {
 public:
-    /// Logs and records of the processes go into the directory.
+    /// Writes logs and records of the processes to `directory`.
     deployment(std::filesystem::path directory, std::size_t nodes, std::uint64_t seed);
 
-    /// Starts the node or the upstream of an index, again if its process has ended.
+    /// Start the node or the upstream of an index, replacing any earlier process. start_node()
+    /// throws std::runtime_error if the node does not start.
     void start_node(std::size_t index);
     void start_upstream(std::size_t index);
 
-    /// Writes a document with the version to the store; whether it was accepted.
+    /// Writes a config document to the store; returns whether the store accepted it.
     bool publish(std::uint64_t version);
 
     soak_node& node(std::size_t index) { return *nodes_[index]; }
@@ -57,10 +58,10 @@
     testing::process& store() { return *store_; }
     std::filesystem::path arrivals_file(std::size_t index) const;
 
-    /// Time that an upstream takes for a request.
+    /// Time in which an upstream serves a request.
     static constexpr double service_ms = 15;
 
-    /// Services; the upstreams are spread evenly over them.
+    /// Names of the services; the upstreams are spread evenly over them.
     static const std::vector<std::string>& services();
 
 private:
--- a/soak/fault_plan.h
+++ b/soak/fault_plan.h
@@ -11,19 +11,19 @@
 
 enum class fault_kind : std::uint8_t {
     pause_node,
-    kill_node, ///< SIGKILL, then a new start.
-    stop_node, ///< SIGTERM, then a new start.
+    kill_node, ///< SIGKILL, then a restart.
+    stop_node, ///< SIGTERM, then a restart.
     pause_upstream,
-    kill_upstream, ///< SIGKILL, then a new start.
+    kill_upstream, ///< SIGKILL, then a restart.
     slow_upstream,
     shedding_upstream, ///< Refuses all requests as not run.
-    failing_upstream,  ///< Answers 500 at once.
-    crossed_answers,   ///< Answers carry the id of another request.
+    failing_upstream,  ///< Responds with 500 at once.
+    crossed_answers,   ///< Responses carry the id of another request.
     caller_link,
     node_link,
     upstream_link,
     store_link,
-    gossip_cut, ///< Datagrams to one node are lost, those from it arrive.
+    gossip_cut, ///< Datagrams to the node are lost, those from it arrive.
     gossip_loss,
     gossip_delay,
     pause_store,
@@ -39,12 +39,12 @@
     std::size_t node = 0;
     milliseconds from{0};
     milliseconds duration{0};
-    /// Chooses among the variants of a kind.
+    /// Random number that selects the parameters of the fault.
     std::uint64_t variant = 0;
 };
 
-/// Faults of a run, ordered by their start: series of up to four that begin within two seconds and
-/// overlap, with pauses between the series. The same for a seed.
+/// Returns the faults of a run, ordered by their start: bursts of up to four overlapping faults
+/// that begin within two seconds, with pauses between the bursts. Deterministic for a seed.
 std::vector<planned_fault> plan_faults(std::uint64_t seed, milliseconds length, std::size_t nodes);
 
 } // namespace chestnutstand::soak
--- a/soak/fault_plan_test.cpp
+++ b/soak/fault_plan_test.cpp
@@ -9,7 +9,7 @@
 
 constexpr milliseconds length{30'000};
 
-// Guards against a seed that does not repeat the run that failed.
+// Guards against a seed that does not reproduce the plan of a failed run.
 TEST(fault_plan, is_the_same_for_a_seed)
 {
     const auto first = plan_faults(7, length, 6);
@@ -24,7 +24,7 @@
     }
 }
 
-// Guards against kinds that never come, and against faults that never overlap.
+// Guards against kinds that are never planned, and against faults that never overlap.
 TEST(fault_plan, has_all_kinds_and_overlaps)
 {
     std::set<fault_kind> kinds;
--- a/soak/injector.cpp
+++ b/soak/injector.cpp
@@ -12,17 +12,17 @@
 
 constexpr double publish_interval_ms = 2'500;
 constexpr double stop_poll_ms = 20;
-/// After a fault has ended, what it has touched needs time: connections are made again, members are
-/// probed, documents are fetched.
-constexpr double aftermath_ms = 8'000;
+/// Recovery time after a fault: connections are reopened, members are probed and config documents
+/// are fetched.
+constexpr double recovery_ms = 8'000;
 constexpr milliseconds control_timeout{1'000};
 constexpr double slow_service_ms = 400;
 
 using testing::fault_direction;
 using testing::fault_mode;
 
-/// Faults of one link by the variant; only those where nodes can tell a wrong answer from a right
-/// one may swap answers.
+/// Selects the faults of a link by the variant. Responses are swapped only on upstream links, where
+/// the node can detect a response to another request.
 testing::fault_settings link_faults(const planned_fault& fault)
 {
     std::vector<fault_mode> modes{fault_mode::cut, fault_mode::delay, fault_mode::freeze,
@@ -42,12 +42,13 @@
 
 } // namespace
 
-injector::injector(deployment& all, run_record& record, time_point start)
-    : all_{all}, record_{record}, start_{start}, node_busy_(all.size()), upstream_busy_(all.size())
+injector::injector(deployment& cluster, run_record& record, time_point start)
+    : cluster_{cluster}, record_{record}, start_{start}, node_busy_(cluster.size()),
+      upstream_busy_(cluster.size())
 {
 }
 
-void injector::at(double due, std::function<void()> run)
+void injector::schedule(double due, std::function<void()> run)
 {
     actions_.push({due, next_order_++, std::move(run)});
 }
@@ -56,10 +57,10 @@
 {
     const double begin = elapsed();
     for (const planned_fault& fault : plan) {
-        at(begin + fault.from.count(), [this, fault] { apply(fault); });
+        schedule(begin + fault.from.count(), [this, fault] { apply(fault); });
     }
     for (double due = 0; due < length.count(); due += publish_interval_ms) {
-        at(begin + due, [this] { publish(); });
+        schedule(begin + due, [this] { publish(); });
     }
     while (!actions_.empty()) {
         const double wait = actions_.top().due - elapsed();
@@ -70,16 +71,16 @@
         actions_.pop();
         next();
     }
-    for (std::thread& each : waiters_) {
-        each.join();
+    for (std::thread& waiter : exit_waiters_) {
+        waiter.join();
     }
-    waiters_.clear();
+    exit_waiters_.clear();
 }
 
-void injector::disturb(std::size_t node, double until, double cut_off_until)
+void injector::record_disturbance(std::size_t node, double until, double cut_off_until)
 {
     const double now = elapsed();
-    record_.disturbances.push_back({node, {now, until + aftermath_ms}, {now, cut_off_until}});
+    record_.disturbances.push_back({node, {now, until + recovery_ms}, {now, cut_off_until}});
 }
 
 void injector::apply(const planned_fault& fault)
@@ -132,22 +133,22 @@
         stop_node(index, fault.duration.count());
         return;
     }
-    disturb(index, end, end);
-    const bool kills = fault.kind == fault_kind::kill_node;
-    if (kills) {
-        all_.node(index).node->kill();
+    record_disturbance(index, end, end);
+    const bool is_kill = fault.kind == fault_kind::kill_node;
+    if (is_kill) {
+        cluster_.node(index).node->kill();
     }
     else {
-        all_.node(index).node->signal(SIGSTOP);
+        cluster_.node(index).node->signal(SIGSTOP);
     }
-    at(end, [this, index, kills] {
-        if (kills) {
-            all_.start_node(index);
+    schedule(end, [this, index, is_kill] {
+        if (is_kill) {
+            cluster_.start_node(index);
         }
         else {
-            all_.node(index).node->signal(SIGCONT);
+            cluster_.node(index).node->signal(SIGCONT);
         }
-        disturb(index, elapsed(), elapsed());
+        record_disturbance(index, elapsed(), elapsed());
         node_busy_[index] = false;
     });
 }
@@ -158,37 +159,37 @@
     stop.node = index;
     stop.time.from = elapsed();
     record_.stops.push_back(stop);
-    all_.node(index).node->signal(SIGTERM);
-    // A thread of its own sees the end at once, while other faults keep this one busy.
-    const auto ended = std::make_shared<std::atomic<double>>(0.0);
-    waiters_.emplace_back([this, ended, process = all_.node(index).node.get()] {
+    cluster_.node(index).node->signal(SIGTERM);
+    // A separate thread records the exit time without delay while other faults keep this one busy.
+    const auto exited_at = std::make_shared<std::atomic<double>>(0.0);
+    exit_waiters_.emplace_back([this, exited_at, process = cluster_.node(index).node.get()] {
         process->wait();
-        *ended = elapsed();
+        *exited_at = elapsed();
     });
-    poll_stop(index, record_.stops.size() - 1, ended, restart_after);
+    poll_stop(index, record_.stops.size() - 1, exited_at, restart_after);
 }
 
-void injector::poll_stop(std::size_t index, std::size_t record, const end_time& ended,
+void injector::poll_stop(std::size_t index, std::size_t record_index, const exit_time& exited_at,
                          double restart_after)
 {
-    if (*ended == 0.0) {
-        at(elapsed() + stop_poll_ms, [this, index, record, ended, restart_after] {
-            poll_stop(index, record, ended, restart_after);
+    if (*exited_at == 0.0) {
+        schedule(elapsed() + stop_poll_ms, [this, index, record_index, exited_at, restart_after] {
+            poll_stop(index, record_index, exited_at, restart_after);
         });
         return;
     }
-    stop_record& stop = record_.stops[record];
-    stop.time.to = *ended;
-    stop.exit_status = all_.node(index).node->wait();
-    for (const disturbance_record& each : record_.disturbances) {
-        stop.disturbed |= each.node == index && each.callers_cut_off.meets(stop.time);
+    stop_record& stop = record_.stops[record_index];
+    stop.time.to = *exited_at;
+    stop.exit_status = cluster_.node(index).node->wait();
+    for (const disturbance_record& other : record_.disturbances) {
+        stop.disturbed |= other.node == index && other.callers_cut_off.overlaps(stop.time);
     }
     record_.disturbances.push_back(
-        {index, {stop.time.from, stop.time.to + restart_after + aftermath_ms}, {}});
-    at(stop.time.to + restart_after, [this, index, record] {
-        record_.stops[record].restart = elapsed();
-        all_.start_node(index);
-        disturb(index, elapsed(), elapsed());
+        {index, {stop.time.from, stop.time.to + restart_after + recovery_ms}, {}});
+    schedule(stop.time.to + restart_after, [this, index, record_index] {
+        record_.stops[record_index].restart = elapsed();
+        cluster_.start_node(index);
+        record_disturbance(index, elapsed(), elapsed());
         node_busy_[index] = false;
     });
 }
@@ -201,75 +202,75 @@
     }
     upstream_busy_[index] = true;
     const double end = elapsed() + fault.duration.count();
-    disturb(index, end, elapsed());
-    const auto set = [this, index](const nlohmann::json& behaviour) {
+    record_disturbance(index, end, elapsed());
+    const auto set_behaviour = [this, index](const nlohmann::json& behaviour) {
         const auto client = make_http_client();
-        testing::exchange(*client, all_.node(index).upstream_port,
+        testing::exchange(*client, cluster_.node(index).upstream_port,
                           {"POST", "/behaviour", {}, behaviour.dump()}, control_timeout);
     };
     switch (fault.kind) {
     case fault_kind::pause_upstream:
-        all_.node(index).upstream->signal(SIGSTOP);
+        cluster_.node(index).upstream->signal(SIGSTOP);
         break;
     case fault_kind::kill_upstream:
-        all_.node(index).upstream->kill();
+        cluster_.node(index).upstream->kill();
         break;
     case fault_kind::slow_upstream:
-        set({{"service_ms", slow_service_ms}});
+        set_behaviour({{"service_ms", slow_service_ms}});
         break;
     case fault_kind::shedding_upstream:
-        set({{"shed", true}});
+        set_behaviour({{"shed", true}});
         break;
     case fault_kind::failing_upstream:
-        set({{"fail_fast", true}});
+        set_behaviour({{"fail_fast", true}});
         break;
     default:
-        set({{"cross_answers", true}});
+        set_behaviour({{"cross_answers", true}});
         break;
     }
-    at(end, [this, index, set, kind = fault.kind] {
+    schedule(end, [this, index, set_behaviour, kind = fault.kind] {
         upstream_busy_[index] = false;
         if (kind == fault_kind::pause_upstream) {
-            all_.node(index).upstream->signal(SIGCONT);
+            cluster_.node(index).upstream->signal(SIGCONT);
         }
         else if (kind == fault_kind::kill_upstream) {
-            all_.start_upstream(index);
+            cluster_.start_upstream(index);
         }
         else {
-            set({{"service_ms", deployment::service_ms},
-                 {"shed", false},
-                 {"fail_fast", false},
-                 {"cross_answers", false}});
+            set_behaviour({{"service_ms", deployment::service_ms},
+                           {"shed", false},
+                           {"fail_fast", false},
+                           {"cross_answers", false}});
         }
     });
 }
 
 void injector::apply_to_link(const planned_fault& fault)
 {
-    soak_node& which = all_.node(fault.node);
-    testing::relay* link = which.caller_link;
+    soak_node& entry = cluster_.node(fault.node);
+    testing::relay* link = entry.caller_link;
     if (fault.kind == fault_kind::node_link) {
-        link = which.node_link;
+        link = entry.node_link;
     }
     else if (fault.kind == fault_kind::upstream_link) {
-        link = which.upstream_link;
+        link = entry.upstream_link;
     }
     else if (fault.kind == fault_kind::store_link) {
-        link = which.store_link;
+        link = entry.store_link;
     }
     const double end = elapsed() + fault.duration.count();
-    // Connections that a fault has frozen stay silent after it.
-    const bool of_callers = fault.kind == fault_kind::caller_link;
-    disturb(fault.node, end, of_callers ? end + aftermath_ms : elapsed());
+    // Connections that were frozen by a fault stay silent after its end.
+    const bool is_caller_link = fault.kind == fault_kind::caller_link;
+    record_disturbance(fault.node, end, is_caller_link ? end + recovery_ms : elapsed());
     link->set_faults(link_faults(fault));
-    at(end, [link] { link->set_faults({}); });
+    schedule(end, [link] { link->set_faults({}); });
 }
 
 void injector::apply_to_gossip(const planned_fault& fault)
 {
-    datagram_relay* link = all_.node(fault.node).gossip_link;
+    datagram_relay* link = cluster_.node(fault.node).gossip_link;
     const double end = elapsed() + fault.duration.count();
-    disturb(fault.node, end, elapsed());
+    record_disturbance(fault.node, end, elapsed());
     datagram_faults faults;
     if (fault.kind == fault_kind::gossip_delay) {
         faults.delay = milliseconds{static_cast<double>(50 + fault.variant % 500)};
@@ -278,7 +279,7 @@
         faults.loss = fault.kind == fault_kind::gossip_cut ? 1.0 : 0.5;
     }
     link->set_faults(faults);
-    at(end, [link] { link->set_faults({}); });
+    schedule(end, [link] { link->set_faults({}); });
 }
 
 void injector::pause_store(const planned_fault& fault)
@@ -288,10 +289,10 @@
     }
     store_busy_ = true;
     const double end = elapsed() + fault.duration.count();
-    record_.store_disturbances.push_back({elapsed(), end + aftermath_ms});
-    all_.store().signal(SIGSTOP);
-    at(end, [this] {
-        all_.store().signal(SIGCONT);
+    record_.store_disturbances.push_back({elapsed(), end + recovery_ms});
+    cluster_.store().signal(SIGSTOP);
+    schedule(end, [this] {
+        cluster_.store().signal(SIGCONT);
         store_busy_ = false;
     });
 }
@@ -299,8 +300,8 @@
 void injector::publish()
 {
     const double before = elapsed();
-    // A paused store may still write it later; the number is not used again.
-    if (all_.publish(++version_)) {
+    // Never reuse a version: a paused store may still write this document later.
+    if (cluster_.publish(++version_)) {
         record_.publications.push_back({version_, elapsed()});
         return;
     }
--- a/soak/injector.h
+++ b/soak/injector.h
@@ -13,12 +13,12 @@
 
 namespace chestnutstand::soak {
 
-/// Applies a plan of faults to a deployment and publishes documents meanwhile.
+/// Applies a plan of faults to a deployment and publishes config documents meanwhile.
 class injector {
 public:
-    injector(deployment& all, run_record& record, time_point start);
+    injector(deployment& cluster, run_record& record, time_point start);
 
-    /// Runs the plan, then heals everything that is left and starts what has ended.
+    /// Runs the plan; returns after all faults have ended and all processes run again.
     void run(const std::vector<planned_fault>& plan, milliseconds length);
 
 private:
@@ -32,26 +32,26 @@
         }
     };
 
-    /// When a process has ended; 0 while it runs.
-    using end_time = std::shared_ptr<std::atomic<double>>;
+    /// Exit time of a process; 0 while it runs.
+    using exit_time = std::shared_ptr<std::atomic<double>>;
 
-    void at(double due, std::function<void()> run);
+    void schedule(double due, std::function<void()> run);
     void apply(const planned_fault& fault);
-    /// Each applies one kind and plans its end.
+    /// Apply faults of one group and schedule their end.
     void apply_to_process(const planned_fault& fault);
     void apply_to_upstream(const planned_fault& fault);
     void apply_to_link(const planned_fault& fault);
     void apply_to_gossip(const planned_fault& fault);
     void pause_store(const planned_fault& fault);
     void stop_node(std::size_t index, double restart_after);
-    void poll_stop(std::size_t index, std::size_t record, const end_time& ended,
+    void poll_stop(std::size_t index, std::size_t record_index, const exit_time& exited_at,
                    double restart_after);
     void publish();
-    /// Callers may be cut off until the second time.
-    void disturb(std::size_t node, double until, double cut_off_until);
+    /// Records a fault that begins now; callers may get no response until `cut_off_until`.
+    void record_disturbance(std::size_t node, double until, double cut_off_until);
     double elapsed() const { return (ms_clock::now() - start_).count(); }
 
-    deployment& all_;
+    deployment& cluster_;
     run_record& record_;
     time_point start_;
     std::priority_queue<action, std::vector<action>, std::greater<>> actions_;
@@ -60,8 +60,8 @@
     std::vector<bool> node_busy_;
     std::vector<bool> upstream_busy_;
     bool store_busy_ = false;
-    /// Each waits for the end of a process that is to stop.
-    std::vector<std::thread> waiters_;
+    /// Each waits for the exit of a process that got SIGTERM.
+    std::vector<std::thread> exit_waiters_;
     std::uint64_t version_ = 0;
 };
 
--- a/soak/records.h
+++ b/soak/records.h
@@ -15,10 +15,10 @@
     double from = 0;
     double to = 0;
 
-    bool meets(const interval& other) const { return from < other.to && other.from < to; }
+    bool overlaps(const interval& other) const { return from < other.to && other.from < to; }
 };
 
-/// A call as its caller saw it.
+/// A call and its result at the caller.
 struct call_record {
     std::string id;
     bool repeatable = false;
@@ -27,23 +27,24 @@
     http_error error = http_error::none;
     int status = 0;
     call_outcome outcome = call_outcome::unknown;
-    /// Whether the body of a completed call is the one of its own request.
-    bool own_body = true;
+    /// Whether the body of a completed call belongs to its own request.
+    bool body_matches = true;
 };
 
 /// A request that reached an upstream.
 struct arrival_record {
     std::string id;
     std::size_t upstream = 0;
-    bool runs = true;
+    /// False if the upstream refused it.
+    bool executed = true;
     double time = 0;
 };
 
-/// Version of the document that a process reported.
+/// Config document version that a node reported.
 struct version_record {
     std::size_t node = 0;
-    /// Counts the starts of the node.
-    std::size_t life = 0;
+    /// Number of starts of the node so far.
+    std::size_t start_count = 0;
     double time = 0;
     std::uint64_t version = 0;
 };
@@ -53,21 +54,21 @@
     double time = 0;
 };
 
-/// Time in which something was done to a node, to its upstream or to one of its links.
+/// Period affected by a fault of a node, of its upstream or of one of its links.
 struct disturbance_record {
     std::size_t node = 0;
-    /// With the time after it in which connections and tables are made good.
+    /// Includes the recovery time, in which connections and membership are restored.
     interval time;
-    /// The part in which callers of the node may go without an answer.
+    /// Part of the period in which callers of the node may get no response.
     interval callers_cut_off;
 };
 
-/// A planned stop of a node, from the signal to the end of the process.
+/// A planned stop of a node, from SIGTERM to the exit of the process.
 struct stop_record {
     std::size_t node = 0;
     interval time;
     int exit_status = 0;
-    /// Whether anything else was done to the node meanwhile.
+    /// Whether another fault cut off callers of the node meanwhile.
     bool disturbed = false;
     /// When the node was started again.
     double restart = 0;
@@ -82,7 +83,7 @@
     std::vector<stop_record> stops;
     std::vector<interval> store_disturbances;
     interval time;
-    /// Whether all nodes served again after the last fault.
+    /// Whether all nodes served calls again after the last fault.
     bool recovered = false;
 };
 
--- a/soak/soak.cpp
+++ b/soak/soak.cpp
@@ -1,5 +1,5 @@
-// Randomized soak: runs nodes, upstreams and a store as processes, injects overlapping faults from
-// outside and checks what callers and upstreams are promised.
+// Randomized soak test: runs nodes, upstreams and a store as processes, injects overlapping faults
+// from outside and checks the guarantees to callers and upstreams.
 
 #include "callers.h"
 #include "checks.h"
@@ -29,11 +29,12 @@
 
 namespace {
 
-constexpr int exit_violated = 1;
+constexpr int exit_violation = 1;
 constexpr int exit_usage = 2;
-constexpr milliseconds start_limit{60'000};
-/// A killed node is forgotten, a paused one refutes its death, and outlier ejections end.
-constexpr milliseconds recovery_limit{60'000};
+constexpr milliseconds start_timeout{60'000};
+/// Covers the removal of a killed node from the membership, the refutation of a paused one that was
+/// declared dead, and the end of outlier ejections.
+constexpr milliseconds recovery_timeout{60'000};
 
 struct options {
     std::uint64_t seed = 1;
@@ -41,7 +42,7 @@
     std::size_t nodes = 6;
     std::size_t callers = 8;
     bool timing = true;
-    /// Logs and records of the run; kept after it.
+    /// Receives logs and records of the run, which are kept.
     std::string directory;
 };
 
@@ -56,16 +57,16 @@
 options parse_options(int argc, char** argv)
 {
     options result;
-    const option known[] = {{"seed", required_argument, nullptr, 's'},
-                            {"seconds", required_argument, nullptr, 't'},
-                            {"nodes", required_argument, nullptr, 'n'},
-                            {"callers", required_argument, nullptr, 'c'},
-                            {"directory", required_argument, nullptr, 'd'},
-                            {"no-timing", no_argument, nullptr, 'x'},
-                            {nullptr, 0, nullptr, 0}};
-    int found = 0;
-    while ((found = getopt_long(argc, argv, "", known, nullptr)) != -1) {
-        switch (found) {
+    const option long_options[] = {{"seed", required_argument, nullptr, 's'},
+                                   {"seconds", required_argument, nullptr, 't'},
+                                   {"nodes", required_argument, nullptr, 'n'},
+                                   {"callers", required_argument, nullptr, 'c'},
+                                   {"directory", required_argument, nullptr, 'd'},
+                                   {"no-timing", no_argument, nullptr, 'x'},
+                                   {nullptr, 0, nullptr, 0}};
+    int option_code = 0;
+    while ((option_code = getopt_long(argc, argv, "", long_options, nullptr)) != -1) {
+        switch (option_code) {
         case 's':
             result.seed = std::strtoull(optarg, nullptr, 10);
             break;
@@ -94,14 +95,14 @@
     return result;
 }
 
-std::vector<arrival_record> read_arrivals(const deployment& all, time_point start)
+std::vector<arrival_record> read_arrivals(const deployment& cluster, time_point start)
 {
     std::vector<arrival_record> arrivals;
-    for (std::size_t i = 0; i < all.size(); ++i) {
-        std::ifstream file{all.arrivals_file(i)};
+    for (std::size_t i = 0; i < cluster.size(); ++i) {
+        std::ifstream file{cluster.arrivals_file(i)};
         for (std::string line; std::getline(file, line);) {
             const auto fields = nlohmann::json::parse(line, nullptr, false);
-            // A stub that was killed may have left a part of a line.
+            // A stub that was killed may have written part of a line.
             if (fields.is_object()) {
                 const double time = fields["time"].get<double>();
                 arrivals.push_back(
@@ -115,34 +116,34 @@
 void write_calls(const run_record& record, const std::filesystem::path& file)
 {
     std::ofstream out{file};
-    for (const call_record& each : record.calls) {
-        out << nlohmann::json{{"id", each.id},        {"repeatable", each.repeatable},
-                              {"node", each.node},    {"from", each.time.from},
-                              {"to", each.time.to},   {"error", static_cast<int>(each.error)},
-                              {"status", each.status}}
+    for (const call_record& call : record.calls) {
+        out << nlohmann::json{{"id", call.id},        {"repeatable", call.repeatable},
+                              {"node", call.node},    {"from", call.time.from},
+                              {"to", call.time.to},   {"error", static_cast<int>(call.error)},
+                              {"status", call.status}}
                    .dump()
             << "\n";
     }
 }
 
-void print_summary(const options& chosen, const run_record& record,
+void print_summary(const options& settings, const run_record& record,
                    const std::vector<violation>& violations)
 {
-    std::map<std::string, std::size_t> answers;
-    for (const call_record& each : record.calls) {
-        ++answers[each.error == http_error::none
-                      ? std::to_string(each.status)
-                      : absl::StrCat("error ", static_cast<int>(each.error))];
+    std::map<std::string, std::size_t> response_counts;
+    for (const call_record& call : record.calls) {
+        ++response_counts[call.error == http_error::none
+                              ? std::to_string(call.status)
+                              : absl::StrCat("error ", static_cast<int>(call.error))];
     }
-    for (const violation& each : violations) {
-        std::printf("%s\n", nlohmann::json{{"broken", promise_names.name(each.broken)},
-                                           {"detail", each.detail}}
+    for (const violation& found : violations) {
+        std::printf("%s\n", nlohmann::json{{"broken", guarantee_names.name(found.violated)},
+                                           {"detail", found.detail}}
                                 .dump()
                                 .c_str());
     }
-    std::printf("%s\n", nlohmann::json{{"seed", chosen.seed},
+    std::printf("%s\n", nlohmann::json{{"seed", settings.seed},
                                        {"calls", record.calls.size()},
-                                       {"answers", answers},
+                                       {"answers", response_counts},
                                        {"arrivals", record.arrivals.size()},
                                        {"stops", record.stops.size()},
                                        {"documents", record.publications.size()},
@@ -151,42 +152,42 @@
                             .c_str());
 }
 
-int run(const options& chosen)
+int run(const options& settings)
 {
-    const std::filesystem::path directory{chosen.directory};
+    const std::filesystem::path directory{settings.directory};
     std::filesystem::create_directories(directory);
     if (!std::filesystem::is_empty(directory)) {
-        throw std::runtime_error{"the directory holds the records of another run"};
+        throw std::runtime_error{"record directory is not empty"};
     }
-    deployment all{directory, chosen.nodes, chosen.seed};
+    deployment cluster{directory, settings.nodes, settings.seed};
     run_record record;
     const time_point start = ms_clock::now();
-    injector faults{all, record, start};
-    for (std::size_t i = 0; i < all.size(); ++i) {
-        all.start_node(i);
-        all.start_upstream(i);
+    injector faults{cluster, record, start};
+    for (std::size_t i = 0; i < cluster.size(); ++i) {
+        cluster.start_node(i);
+        cluster.start_upstream(i);
     }
-    callers load{all, chosen.seed, chosen.callers, start};
+    callers load{cluster, settings.seed, settings.callers, start};
     const auto served = [&] { return load.all_served(); };
-    const milliseconds length{chosen.seconds * 1'000};
+    const milliseconds length{settings.seconds * 1'000};
     faults.run({}, milliseconds{1});
-    if (!testing::eventually(served, start_limit)) {
-        std::fputs("the deployment did not start\n", stderr);
-        return exit_violated;
+    if (!testing::eventually(served, start_timeout)) {
+        std::fputs("deployment did not serve all routes before the start timeout\n", stderr);
+        return exit_violation;
     }
-    faults.run(plan_faults(chosen.seed, length, all.size()), length);
-    record.recovered = testing::eventually(served, recovery_limit);
+    faults.run(plan_faults(settings.seed, length, cluster.size()), length);
+    record.recovered = testing::eventually(served, recovery_timeout);
     load.stop();
     record.time = {0, (ms_clock::now() - start).count()};
     record.calls = load.calls();
     record.versions = load.versions();
-    record.arrivals = read_arrivals(all, start);
+    record.arrivals = read_arrivals(cluster, start);
     write_calls(record, directory / "calls.jsonl");
-    promise_limits limits;
-    limits.timing = chosen.timing;
+    guarantee_limits limits;
+    limits.timing = settings.timing;
     const auto violations = check(record, limits);
-    print_summary(chosen, record, violations);
-    return violations.empty() ? EXIT_SUCCESS : exit_violated;
+    print_summary(settings, record, violations);
+    return violations.empty() ? EXIT_SUCCESS : exit_violation;
 }
 
 } // namespace
@@ -194,7 +195,7 @@
 int main(int argc, char** argv)
 {
     init_logging(log_level::info);
-    int status = exit_violated;
+    int status = exit_violation;
     try {
         status = run(parse_options(argc, argv));
     }
@@ -202,6 +203,6 @@
         std::fprintf(stderr, "%s\n", error.what());
     }
     std::fflush(stdout);
-    // Threads of the relays may be blocked in system calls.
+    // Skips destructors: threads of the relays may be blocked in system calls.
     std::_Exit(status);
 }
