--- a/benchmarks/capacity_benchmark.cpp
+++ b/benchmarks/capacity_benchmark.cpp
@@ -1,6 +1,6 @@
-// Measures what a node costs: without calls at several fleet sizes (memory, processor time, gossip
-// traffic, time until a configuration change is in force everywhere), and per call and per key.
-// Arguments: fleet sizes, or "slopes" for the costs per call and per key only.
+// Measures the resource use of a node: when idle at several cluster sizes (memory, processor time,
+// gossip traffic, time until all nodes have applied a configuration change), and per call and per
+// idempotency key. Arguments: cluster sizes, or "slopes" for the costs per call and per key only.
 
 #include "../tests/support/fleet.h"
 
@@ -19,14 +19,14 @@
 
 namespace {
 
-constexpr milliseconds measured_time{20'000};
-constexpr milliseconds settle_time{5'000};
-constexpr int changes = 5;
+constexpr milliseconds measurement_time{20'000};
+constexpr milliseconds idle_wait{5'000};
+constexpr int change_count = 5;
 constexpr int caller_threads = 8;
 constexpr int warm_up_calls = 2'000;
 constexpr int keys_per_request = 1'000;
 
-/// Processor time of a process in seconds.
+/// User and system time of a process in seconds.
 double cpu_seconds(pid_t pid)
 {
     std::ifstream stat{"/proc/" + std::to_string(pid) + "/stat"};
@@ -52,9 +52,9 @@
     return resident_pages * static_cast<double>(::sysconf(_SC_PAGESIZE)) / (1024.0 * 1024.0);
 }
 
-double metric(fleet& all, const fleet_member& of, const std::string& name)
+double metric(fleet& cluster, const fleet_member& node, const std::string& name)
 {
-    const auto result = exchange(all.client(), of.admin_port, {"GET", "/metrics", {}, ""});
+    const auto result = exchange(cluster.client(), node.admin_port, {"GET", "/metrics", {}, ""});
     const auto found = result.response.body.find("\n" + name + " ");
     return found == std::string::npos
                ? 0.0
@@ -67,63 +67,63 @@
     double gossip_bytes = 0;
 };
 
-fleet_cost totals(fleet& all)
+fleet_cost total_cost(fleet& cluster)
 {
     fleet_cost sum;
-    for (const auto& each : all.members()) {
-        sum.cpu += cpu_seconds(each->node->pid());
-        sum.megabytes += resident_megabytes(each->node->pid());
+    for (const auto& member : cluster.members()) {
+        sum.cpu += cpu_seconds(member->node->pid());
+        sum.megabytes += resident_megabytes(member->node->pid());
         for (const char* name :
              {"chestnutstand_gossip_bytes_sent_total", "chestnutstand_gossip_bytes_received_total",
               "chestnutstand_member_sync_bytes_sent_total",
               "chestnutstand_member_sync_bytes_received_total"}) {
-            sum.gossip_bytes += metric(all, *each, name);
+            sum.gossip_bytes += metric(cluster, *member, name);
         }
     }
     return sum;
 }
 
-/// Time from the verdict at the publishing node until all nodes have the version; -1 when they do
-/// not get it in time.
-double spread_ms(fleet& all, std::uint64_t base_version, std::uint64_t& version, int number)
+/// Time from the acceptance of a change at the publishing node until all nodes have its version; -1
+/// if it is refused or does not reach all nodes in time.
+double propagation_ms(fleet& cluster, std::uint64_t base_version, std::uint64_t& version, int index)
 {
-    const auto verdict =
-        all.publish(*all.members().front(), "platform", "main", base_version,
-                    section_content("platform", {"alpha"}), "change-" + std::to_string(number));
+    const auto response =
+        cluster.publish(*cluster.members().front(), "platform", "main", base_version,
+                        section_content("platform", {"alpha"}), "change-" + std::to_string(index));
     const time_point accepted = ms_clock::now();
-    if (!verdict.is_object() || !verdict.value("accepted", false)) {
+    if (!response.is_object() || !response.value("accepted", false)) {
         return -1;
     }
-    version = verdict["version"].get<std::uint64_t>();
-    const bool everywhere = eventually([&] {
-        for (const auto& each : all.members()) {
-            const auto now = all.status(*each);
-            if (!now.is_object() || now["config_version"].is_null() ||
-                now["config_version"].get<std::uint64_t>() < version) {
+    version = response["version"].get<std::uint64_t>();
+    const bool is_applied = eventually([&] {
+        for (const auto& member : cluster.members()) {
+            const auto status = cluster.status(*member);
+            if (!status.is_object() || status["config_version"].is_null() ||
+                status["config_version"].get<std::uint64_t>() < version) {
                 return false;
             }
         }
         return true;
     });
-    return everywhere ? (ms_clock::now() - accepted).count() : -1;
+    return is_applied ? (ms_clock::now() - accepted).count() : -1;
 }
 
-void measure(std::size_t nodes)
+void measure_idle(std::size_t nodes)
 {
-    fleet all;
+    fleet cluster;
     for (std::size_t i = 0; i < nodes; ++i) {
-        all.add(i % 2 == 0 ? "east" : "west", "");
+        cluster.add(i % 2 == 0 ? "east" : "west", "");
     }
     std::uint64_t version = 0;
     double worst_ms = 0;
-    for (int i = 0; i < changes; ++i) {
-        worst_ms = std::max(worst_ms, spread_ms(all, version, version, i));
+    for (int i = 0; i < change_count; ++i) {
+        worst_ms = std::max(worst_ms, propagation_ms(cluster, version, version, i));
     }
-    std::this_thread::sleep_for(settle_time);
-    const fleet_cost before = totals(all);
-    std::this_thread::sleep_for(measured_time);
-    const fleet_cost after = totals(all);
-    const double seconds = measured_time.count() / 1000.0;
+    std::this_thread::sleep_for(idle_wait);
+    const fleet_cost before = total_cost(cluster);
+    std::this_thread::sleep_for(measurement_time);
+    const fleet_cost after = total_cost(cluster);
+    const double seconds = measurement_time.count() / 1000.0;
     const auto count = static_cast<double>(nodes);
     std::printf("| %zu | %.1f | %.2f | %.0f | %.0f |\n", nodes, after.megabytes / count,
                 (after.cpu - before.cpu) / seconds / count * 100.0,
@@ -131,30 +131,30 @@
     std::fflush(stdout);
 }
 
-/// Two nodes, of which only the second has an upstream, so that every call crosses both.
+/// Two nodes, of which only the second has an upstream, so that every call passes through both.
 struct call_path {
-    fleet all;
+    fleet cluster;
     fleet_member* entry = nullptr;
-    fleet_member* executing = nullptr;
+    fleet_member* executor = nullptr;
 
     bool start()
     {
-        entry = &all.add("east", "");
-        executing = &all.add("east", "alpha", {"--slots", "64"});
-        all.publish(*entry, "platform", "main", 0, section_content("platform", {"alpha"}), "c");
-        return all.wait_until_ready(1);
+        entry = &cluster.add("east", "");
+        executor = &cluster.add("east", "alpha", {"--slots", "64"});
+        cluster.publish(*entry, "platform", "main", 0, section_content("platform", {"alpha"}), "c");
+        return cluster.wait_until_ready(1);
     }
 
-    /// Sends calls from several threads, one after the other in each.
-    void send(int count, const std::function<http_request(int)>& make)
+    /// Sends calls from several threads, each with one call at a time.
+    void send(int count, const std::function<http_request(int)>& make_request)
     {
         std::atomic<int> next{0};
         std::vector<std::thread> callers;
         callers.reserve(caller_threads);
         for (int i = 0; i < caller_threads; ++i) {
             callers.emplace_back([&] {
-                for (int number = next++; number < count; number = next++) {
-                    exchange(all.client(), entry->caller_port, make(number));
+                for (int index = next++; index < count; index = next++) {
+                    exchange(cluster.client(), entry->caller_port, make_request(index));
                 }
             });
         }
@@ -170,18 +170,17 @@
     if (!path.start()) {
         return;
     }
-    const auto make = [](int) {
+    const auto make_request = [](int) {
         return http_request{"POST", "/call/alpha/x", {}, std::string(256, 'x')};
     };
-    path.send(warm_up_calls, make);
+    path.send(warm_up_calls, make_request);
     const double entry_before = cpu_seconds(path.entry->node->pid());
-    const double executing_before = cpu_seconds(path.executing->node->pid());
-    path.send(count, make);
+    const double executor_before = cpu_seconds(path.executor->node->pid());
+    path.send(count, make_request);
     constexpr double microseconds = 1e6;
     std::printf("| %d | %.0f | %.0f |\n", count,
                 (cpu_seconds(path.entry->node->pid()) - entry_before) / count * microseconds,
-                (cpu_seconds(path.executing->node->pid()) - executing_before) / count *
-                    microseconds);
+                (cpu_seconds(path.executor->node->pid()) - executor_before) / count * microseconds);
     std::fflush(stdout);
 }
 
@@ -190,7 +189,7 @@
     std::vector<std::string> keys;
     while (static_cast<int>(keys.size()) < count) {
         const auto result =
-            exchange(path.all.client(), path.entry->caller_port,
+            exchange(path.cluster.client(), path.entry->caller_port,
                      {"POST", "/keys/alpha?count=" + std::to_string(keys_per_request), {}, ""});
         const auto body = nlohmann::json::parse(result.response.body, nullptr, false);
         if (!body.is_object() || !body.contains("keys")) {
@@ -214,21 +213,21 @@
         return;
     }
     const double entry_before = resident_megabytes(path.entry->node->pid());
-    const double executing_before = resident_megabytes(path.executing->node->pid());
-    path.send(count, [&](int number) {
+    const double executor_before = resident_megabytes(path.executor->node->pid());
+    path.send(count, [&](int index) {
         return http_request{"POST",
                             "/call/alpha/x",
                             {{"Chestnut-Priority", "write"},
-                             {"Idempotency-Key", keys[static_cast<std::size_t>(number)]}},
+                             {"Idempotency-Key", keys[static_cast<std::size_t>(index)]}},
                             std::string(256, 'x')};
     });
     std::printf("| %d | %.1f | %.1f |\n", count,
                 resident_megabytes(path.entry->node->pid()) - entry_before,
-                resident_megabytes(path.executing->node->pid()) - executing_before);
+                resident_megabytes(path.executor->node->pid()) - executor_before);
     std::fflush(stdout);
 }
 
-void measure_slopes()
+void measure_marginal_costs()
 {
     std::printf("\n| calls | CPU us per call, entry node | CPU us per call, executing node |\n"
                 "| --- | --- | --- |\n");
@@ -249,19 +248,19 @@
     std::printf("| nodes | resident MB per node | CPU %% of a core per node | gossip B/s per node, "
                 "both directions | slowest of %d changes until in force everywhere, ms |\n"
                 "| --- | --- | --- | --- | --- |\n",
-                changes);
+                change_count);
     if (argc == 1) {
         for (const std::size_t nodes : {4, 12, 36}) {
-            measure(nodes);
+            measure_idle(nodes);
         }
-        measure_slopes();
+        measure_marginal_costs();
     }
     for (int i = 1; i < argc; ++i) {
         if (std::string{argv[i]} == "slopes") {
-            measure_slopes();
+            measure_marginal_costs();
             continue;
         }
-        measure(std::strtoul(argv[i], nullptr, 10));
+        measure_idle(std::strtoul(argv[i], nullptr, 10));
     }
     return EXIT_SUCCESS;
 }
--- a/benchmarks/carrier_benchmark.cpp
+++ b/benchmarks/carrier_benchmark.cpp
@@ -1,6 +1,6 @@
-// Compares the two carriers of calls between nodes for an echo of 1 KB: gRPC callback unary calls
-// and HTTP/1.1 with Pistache and libcurl. Client and server share one process and talk over
-// loopback.
+// Compares the two transports of calls between nodes for an echo of 1 KB: unary gRPC calls with the
+// callback API, and HTTP/1.1 with Pistache and libcurl. Client and server run in one process and
+// communicate over loopback.
 
 #include "chestnutstand/transport/http_client.h"
 #include "chestnutstand/transport/http_server.h"
@@ -56,70 +56,70 @@
     }
 };
 
-/// Starts one echo and runs the callback with its success.
+/// Starts one echo call; the callback gets whether it succeeded.
 using start_echo = std::function<void(std::function<void(bool)>)>;
 
-/// Runs calls, a given number of them at a time, and keeps their latencies.
+/// Runs calls with a given concurrency and records their latencies in milliseconds.
 class load_run {
 public:
-    load_run(start_echo start, int calls, int concurrent)
-        : start_{std::move(start)}, left_{calls}, running_{concurrent}
+    load_run(start_echo start, int calls, int concurrency)
+        : start_{std::move(start)}, remaining_{calls}, running_{concurrency}
     {
     }
 
     std::vector<double> run()
     {
-        const int concurrent = running_;
-        for (int i = 0; i < concurrent; ++i) {
-            next();
+        const int concurrency = running_;
+        for (int i = 0; i < concurrency; ++i) {
+            start_next();
         }
         std::unique_lock lock{mutex_};
-        ended_.wait(lock, [&] { return running_ == 0; });
+        finished_.wait(lock, [&] { return running_ == 0; });
         std::sort(latencies_.begin(), latencies_.end());
         return std::move(latencies_);
     }
 
 private:
-    void next()
+    void start_next()
     {
         {
             const std::lock_guard lock{mutex_};
-            if (left_ == 0) {
+            if (remaining_ == 0) {
                 --running_;
-                ended_.notify_all();
+                finished_.notify_all();
                 return;
             }
-            --left_;
+            --remaining_;
         }
         const time_point begin = ms_clock::now();
         start_([this, begin](bool success) {
             if (!success) {
-                std::fprintf(stderr, "a call failed\n");
+                std::fprintf(stderr, "echo call failed\n");
                 std::abort();
             }
             {
                 const std::lock_guard lock{mutex_};
                 latencies_.push_back((ms_clock::now() - begin).count());
             }
-            next();
+            start_next();
         });
     }
 
     start_echo start_;
     std::mutex mutex_;
-    std::condition_variable ended_;
-    int left_;
+    std::condition_variable finished_;
+    int remaining_;
     int running_;
     std::vector<double> latencies_;
 };
 
-void measure(const char* carrier, const start_echo& start, int concurrent)
+void measure(const char* carrier, const start_echo& start, int concurrency)
 {
-    load_run{start, warm_up_calls, concurrent}.run();
+    load_run{start, warm_up_calls, concurrency}.run();
     const time_point begin = ms_clock::now();
-    const auto sorted = load_run{start, measured_calls, concurrent}.run();
+    const auto sorted = load_run{start, measured_calls, concurrency}.run();
     const double seconds = (ms_clock::now() - begin).count() / 1000.0;
-    std::printf("| %-8s | %10d | %8.3f | %8.3f | %9.0f |\n", carrier, concurrent,
+    std::printf("| %-8s | %10d | %8.3f | %8.3f | %9.0f |\n", carrier, concurrency,
                 sorted[sorted.size() / 2], sorted[sorted.size() * 99 / 100],
                 measured_calls / seconds);
 }
@@ -132,8 +132,9 @@
     node_server grpc_server{"127.0.0.1", 0, handler};
     http_server_options options;
     options.threads = 2;
-    http_server server{options, [](http_request request, const std::shared_ptr<responder>& to) {
-                           to->send({200, {}, std::move(request.body)});
+    http_server server{options,
+                       [](http_request request, const std::shared_ptr<responder>& response) {
+                           response->send({200, {}, std::move(request.body)});
                        }};
     if (!grpc_server.start().ok() || !server.start().ok()) {
         return EXIT_FAILURE;
@@ -144,7 +145,7 @@
     const std::string url = "http://127.0.0.1:" + std::to_string(server.port());
     const std::string body(body_bytes, 'x');
 
-    const start_echo by_grpc = [&](const std::function<void(bool)>& done) {
+    const start_echo echo_by_grpc = [&](const std::function<void(bool)>& done) {
         service_call call;
         call.service = "echo";
         call.deadline = ms_clock::now() + call_timeout;
@@ -153,7 +154,7 @@
             done(result.response.body.size() == body_bytes);
         });
     };
-    const start_echo by_http = [&](const std::function<void(bool)>& done) {
+    const start_echo echo_by_http = [&](const std::function<void(bool)>& done) {
         client->send(
             url, {"POST", "/", {}, body, false}, call_timeout,
             [done](const http_result& result) { done(result.response.body.size() == body_bytes); });
@@ -161,9 +162,9 @@
     std::printf("| carrier  | concurrent |  p50, ms |  p99, ms | calls per s |\n");
     std::printf("| -------- | ---------- | -------- | -------- | ----------- |\n");
     for (int round = 0; round < rounds; ++round) {
-        for (const int concurrent : {1, 32}) {
-            measure("gRPC", by_grpc, concurrent);
-            measure("HTTP/1.1", by_http, concurrent);
+        for (const int concurrency : {1, 32}) {
+            measure("gRPC", echo_by_grpc, concurrency);
+            measure("HTTP/1.1", echo_by_http, concurrency);
         }
     }
     server.stop();
--- a/benchmarks/overload_benchmark.cpp
+++ b/benchmarks/overload_benchmark.cpp
@@ -1,6 +1,6 @@
-// Overload experiment: one admission queue in front of one fake upstream, as a discrete-event model
-// with seeded random arrivals and service times. Compares the admission queue with plain FIFO and
-// with strict priority. Prints a table; decides nothing.
+// Overload benchmark: a discrete-event simulation of one admission queue in front of one upstream,
+// with seeded random arrivals and service times. Compares the admission queue with FIFO and strict
+// priority queues. Prints a table and has no pass criterion.
 
 #include "chestnutstand/admission/admission_queue.h"
 
@@ -23,18 +23,18 @@
 constexpr std::uint32_t upstream_slots = 10;
 constexpr milliseconds run_time{60'000};
 constexpr milliseconds warm_up{5'000};
-// The caller's default timeout in the product.
-constexpr double timeout_of_target = 10.0;
-constexpr std::size_t queue_bound = 200;
+// The default timeout of a call in the product, as a multiple of its latency target.
+constexpr double timeout_per_latency_target = 10.0;
+constexpr std::size_t queue_limit = 200;
 
 struct class_load {
     priority_config config;
     double service_ms = 1.0;
-    /// Share of the capacity that the class offers when it does not flood.
-    double usual_load = 0.0;
+    /// Offered load as a share of the capacity while the class does not flood.
+    double regular_load = 0.0;
 };
 
-/// Refund desk: all classes of an upstream share its slots.
+/// Classes of the refund desk service, which share the slots of an upstream.
 std::vector<class_load> refund_desk()
 {
     return {{{"urgent", milliseconds{50}, 8.0, false}, 10.0, 0.2},
@@ -42,7 +42,7 @@
             {{"batch", milliseconds{2000}, 1.0, false}, 200.0, 0.2}};
 }
 
-/// What is compared.
+/// A queueing discipline under test.
 class discipline {
 public:
     discipline() = default;
@@ -56,9 +56,9 @@
     virtual void finish(std::uint64_t id, milliseconds latency, time_point now) = 0;
 };
 
-class product final : public discipline {
+class product_queue final : public discipline {
 public:
-    explicit product(const service_config& service) : queue_{service, upstream_slots} {}
+    explicit product_queue(const service_config& service) : queue_{service, upstream_slots} {}
 
     offer_result offer(std::uint64_t id, std::size_t priority, time_point deadline,
                        time_point now) override
@@ -76,11 +76,11 @@
 };
 
 /// Bounded queues, served in order of arrival (one queue) or of priority (one queue per class).
-/// Expired requests are dropped when their turn comes.
+/// Expired requests are dropped when they reach the head of the queue.
 class simple_queue final : public discipline {
 public:
     simple_queue(std::size_t classes, bool by_priority)
-        : queues_(by_priority ? classes : 1), bound_{queue_bound * classes / queues_.size()}
+        : queues_(by_priority ? classes : 1), limit_{queue_limit * classes / queues_.size()}
     {
     }
 
@@ -88,7 +88,7 @@
                        time_point now) override
     {
         auto& queue = queues_[std::min(priority, queues_.size() - 1)];
-        if (queue.size() >= bound_) {
+        if (queue.size() >= limit_) {
             return {offer_state::refused, reason_code::queue_full};
         }
         queue.push_back({id, now, deadline});
@@ -119,7 +119,7 @@
 
 private:
     std::vector<std::deque<queued_request>> queues_;
-    std::size_t bound_;
+    std::size_t limit_;
     std::uint32_t running_ = 0;
 };
 
@@ -141,7 +141,7 @@
         : classes_{std::move(classes)}, loads_{std::move(loads)}, queue_{queue},
           results_(classes_.size())
     {
-        // One generator per class, used on arrivals only, gives all disciplines the same load.
+        // One generator per class, used only for arrivals, gives all disciplines the same load.
         for (std::size_t i = 0; i < classes_.size(); ++i) {
             random_.emplace_back(seed + i);
         }
@@ -156,13 +156,13 @@
             const auto next = events_.top();
             events_.pop();
             now_ = next.at;
-            if (next.arrival) {
-                arrive(next.id);
+            if (next.is_arrival) {
+                handle_arrival(next.id);
             }
             else {
-                leave(next.id);
+                handle_departure(next.id);
             }
-            take_decisions();
+            apply_decisions();
         }
         return std::move(results_);
     }
@@ -170,7 +170,7 @@
 private:
     struct event {
         time_point at;
-        bool arrival;
+        bool is_arrival;
         /// Class of an arrival, request of a departure.
         std::uint64_t id;
         bool operator>(const event& other) const { return at > other.at; }
@@ -198,18 +198,21 @@
         }
     }
 
-    bool counted(const request& what) const { return what.arrived >= time_point{warm_up}; }
+    bool is_measured(const request& candidate) const
+    {
+        return candidate.arrived >= time_point{warm_up};
+    }
 
-    void arrive(std::size_t priority)
+    void handle_arrival(std::size_t priority)
     {
         schedule_arrival(priority);
         const auto id = ++last_id_;
-        const auto timeout = classes_[priority].config.latency_target * timeout_of_target;
+        const auto timeout = classes_[priority].config.latency_target * timeout_per_latency_target;
         const double service_ms = exponential(priority, classes_[priority].service_ms);
-        const request what{priority, now_, now_ + timeout, service_ms, {}};
-        requests_[id] = what;
-        results_[priority].offered += counted(what) ? 1 : 0;
-        const auto offered = queue_.offer(id, priority, what.deadline, now_);
+        const request arriving{priority, now_, now_ + timeout, service_ms, {}};
+        requests_[id] = arriving;
+        results_[priority].offered += is_measured(arriving) ? 1 : 0;
+        const auto offered = queue_.offer(id, priority, arriving.deadline, now_);
         if (offered.result == offer_state::refused) {
             refuse(id, offered.reason);
         }
@@ -220,37 +223,37 @@
 
     void refuse(std::uint64_t id, reason_code reason)
     {
-        const auto what = requests_.extract(id).mapped();
-        if (counted(what)) {
-            auto& result = results_[what.priority];
+        const auto refused = requests_.extract(id).mapped();
+        if (is_measured(refused)) {
+            auto& result = results_[refused.priority];
             ++result.refused[reason];
-            result.refusal_delays_ms.push_back((now_ - what.arrived).count());
+            result.refusal_delays_ms.push_back((now_ - refused.arrived).count());
         }
     }
 
     void start(std::uint64_t id)
     {
-        auto& what = requests_.at(id);
-        what.started = now_;
-        events_.push({now_ + milliseconds{what.service_ms}, false, id});
+        auto& dispatched = requests_.at(id);
+        dispatched.started = now_;
+        events_.push({now_ + milliseconds{dispatched.service_ms}, false, id});
         if (now_ >= time_point{warm_up} && now_ < time_point{run_time}) {
-            ++results_[what.priority].dispatched;
-            results_[what.priority].busy_ms += what.service_ms;
+            ++results_[dispatched.priority].dispatched;
+            results_[dispatched.priority].busy_ms += dispatched.service_ms;
         }
     }
 
-    void leave(std::uint64_t id)
+    void handle_departure(std::uint64_t id)
     {
-        const auto what = requests_.extract(id).mapped();
-        queue_.finish(id, now_ - what.started, now_);
-        if (!counted(what)) {
+        const auto departing = requests_.extract(id).mapped();
+        queue_.finish(id, now_ - departing.started, now_);
+        if (!is_measured(departing)) {
             return;
         }
-        auto& result = results_[what.priority];
-        if (now_ > what.deadline) {
+        auto& result = results_[departing.priority];
+        if (now_ > departing.deadline) {
             ++result.expired_running;
         }
-        else if (now_ - what.arrived > classes_[what.priority].config.latency_target) {
+        else if (now_ - departing.arrived > classes_[departing.priority].config.latency_target) {
             ++result.late;
         }
         else {
@@ -258,7 +261,7 @@
         }
     }
 
-    void take_decisions()
+    void apply_decisions()
     {
         while (const auto decision = queue_.next(now_)) {
             if (decision->starts()) {
@@ -284,9 +287,9 @@
 service_config make_service(const std::vector<class_load>& classes)
 {
     service_config service;
-    service.queue_limit_per_priority = queue_bound;
-    for (const auto& each : classes) {
-        service.priorities.push_back(each.config);
+    service.queue_limit_per_priority = queue_limit;
+    for (const auto& load : classes) {
+        service.priorities.push_back(load.config);
     }
     return service;
 }
@@ -339,17 +342,18 @@
     }
 }
 
-void run_scenario(const std::string& name, std::size_t flooding, double flood, unsigned seed)
+void run_scenario(const std::string& name, std::size_t flooding_class, double flood_load,
+                  unsigned seed)
 {
     const auto classes = refund_desk();
     std::vector<double> loads;
     for (std::size_t i = 0; i < classes.size(); ++i) {
-        loads.push_back(i == flooding ? flood : classes[i].usual_load);
+        loads.push_back(i == flooding_class ? flood_load : classes[i].regular_load);
     }
-    product own{make_service(classes)};
+    product_queue product{make_service(classes)};
     simple_queue fifo{classes.size(), false};
     simple_queue strict{classes.size(), true};
-    print(name, "chestnutstand", classes, simulation{classes, loads, own, seed}.run());
+    print(name, "chestnutstand", classes, simulation{classes, loads, product, seed}.run());
     print(name, "fifo", classes, simulation{classes, loads, fifo, seed}.run());
     print(name, "strict", classes, simulation{classes, loads, strict, seed}.run());
 }
@@ -365,11 +369,11 @@
     std::printf("|---|---|---|---|---|---|---|---|---|---|---|---|---|---|\n");
     const auto classes = refund_desk();
     run_scenario("none", classes.size(), 0.0, seed);
-    for (const std::size_t flooding : {classes.size() - 1, std::size_t{0}}) {
-        for (const double flood : {5.0, 10.0, 20.0}) {
-            run_scenario(classes[flooding].config.name + " " +
-                             std::to_string(static_cast<int>(flood)) + "x",
-                         flooding, flood, seed);
+    for (const std::size_t flooding_class : {classes.size() - 1, std::size_t{0}}) {
+        for (const double flood_load : {5.0, 10.0, 20.0}) {
+            run_scenario(classes[flooding_class].config.name + " " +
+                             std::to_string(static_cast<int>(flood_load)) + "x",
+                         flooding_class, flood_load, seed);
         }
     }
     return EXIT_SUCCESS;
--- a/benchmarks/path_benchmark.cpp
+++ b/benchmarks/path_benchmark.cpp
@@ -1,5 +1,5 @@
-// Measures what the path caller -> node A -> node B -> upstream adds to a direct call to the same
-// upstream. Both kinds of call alternate in one run, at fixed rates.
+// Measures the latency that the path caller -> node A -> node B -> upstream adds to a direct call
+// to the same upstream. Both kinds of call alternate in one run, at fixed rates.
 
 #include "../tests/support/fleet.h"
 
@@ -27,14 +27,14 @@
 constexpr milliseconds call_timeout{5'000};
 constexpr std::size_t body_bytes = 256;
 
-/// Latencies of the calls to one address.
-class samples {
+/// Latencies of the calls over one path, in milliseconds. Thread-safe.
+class latency_samples {
 public:
     void add(const http_result& result, milliseconds latency)
     {
         const std::lock_guard lock{mutex_};
-        const bool good = result.error == http_error::none && result.response.status == 200;
-        if (!good) {
+        const bool succeeded = result.error == http_error::none && result.response.status == 200;
+        if (!succeeded) {
             ++failed_;
             return;
         }
@@ -69,23 +69,26 @@
     std::size_t failed_ = 0;
 };
 
-void send_call(http_client& client, std::uint16_t port, const std::string& target, samples& into)
+void send_call(http_client& client, std::uint16_t port, const std::string& target,
+               latency_samples& samples)
 {
     const time_point begin = ms_clock::now();
-    client.send(
-        "http://127.0.0.1:" + std::to_string(port),
-        {"POST", target, {}, std::string(body_bytes, 'x'), false}, call_timeout,
-        [&into, begin](const http_result& result) { into.add(result, ms_clock::now() - begin); });
+    client.send("http://127.0.0.1:" + std::to_string(port),
+                {"POST", target, {}, std::string(body_bytes, 'x'), false}, call_timeout,
+                [&samples, begin](const http_result& result) {
+                    samples.add(result, ms_clock::now() - begin);
+                });
 }
 
-/// Sends path and direct calls in turn, each kind at the rate.
+/// Alternates calls through the nodes and direct calls, each kind at `rate` calls per second.
 void run_rate(http_client& path_client, http_client& direct_client, const fleet_member& entry,
-              std::uint16_t upstream_port, int rate, double seconds, samples& path, samples& direct)
+              std::uint16_t upstream_port, int rate, double seconds, latency_samples& path,
+              latency_samples& direct)
 {
     const auto calls = static_cast<std::size_t>(rate * seconds);
     const milliseconds interval{1000.0 / rate / 2.0};
     time_point due = ms_clock::now();
-    const auto wait_for_turn = [&] {
+    const auto wait_until_due = [&] {
         due += interval;
         while (ms_clock::now() < due) {
             std::this_thread::sleep_for(std::min(due - ms_clock::now(), milliseconds{0.2}));
@@ -93,9 +96,9 @@
     };
     for (std::size_t i = 0; i < calls; ++i) {
         send_call(path_client, entry.caller_port, "/call/alpha/x", path);
-        wait_for_turn();
+        wait_until_due();
         send_call(direct_client, upstream_port, "/x", direct);
-        wait_for_turn();
+        wait_until_due();
     }
     eventually([&] { return path.count() >= calls && direct.count() >= calls; });
 }
@@ -105,7 +108,8 @@
     std::ifstream file{"/proc/" + std::to_string(pid) + "/stat"};
     std::string text;
     std::getline(file, text);
-    // The fields after the name in parentheses; utime and stime are the 14th and 15th field.
+    // Skips the name in parentheses, which may contain spaces; utime and stime are fields 14
+    // and 15.
     std::istringstream fields{text.substr(text.rfind(')') + 2)};
     std::string skipped;
     for (int i = 0; i < 11; ++i) {
@@ -117,7 +121,7 @@
     return (user + system) / static_cast<double>(::sysconf(_SC_CLK_TCK));
 }
 
-std::string memory_of(pid_t pid)
+std::string resident_memory(pid_t pid)
 {
     std::ifstream file{"/proc/" + std::to_string(pid) + "/status"};
     for (std::string line; std::getline(file, line);) {
@@ -138,7 +142,7 @@
     std::this_thread::sleep_for(milliseconds{idle_s * 1000.0});
     for (std::size_t i = 0; i < nodes.size(); ++i) {
         std::printf("node %zu: resident %s, idle CPU %.2f%% of a core\n", i,
-                    memory_of(nodes[i]).c_str(),
+                    resident_memory(nodes[i]).c_str(),
                     (cpu_seconds(nodes[i]) - before[i]) / idle_s * 100.0);
     }
 }
@@ -147,19 +151,20 @@
 
 int main()
 {
-    fleet all;
-    all.extra_settings()["log_level"] = "info";
-    auto& entry = all.add("east", "");
-    auto& server = all.add("west", "alpha", {"--slots", "200"});
-    const auto verdict = all.publish(entry, "platform", "main", 0,
-                                     section_content("platform", {"alpha"}), "change-1");
-    if (!verdict.is_object() || !verdict.value("accepted", false) || !all.wait_until_ready(1)) {
-        std::fprintf(stderr, "the nodes did not become ready\n");
+    fleet cluster;
+    cluster.extra_settings()["log_level"] = "info";
+    auto& entry = cluster.add("east", "");
+    auto& executor = cluster.add("west", "alpha", {"--slots", "200"});
+    const auto response = cluster.publish(entry, "platform", "main", 0,
+                                          section_content("platform", {"alpha"}), "change-1");
+    if (!response.is_object() || !response.value("accepted", false) ||
+        !cluster.wait_until_ready(1)) {
+        std::fprintf(stderr, "nodes did not become ready\n");
         return EXIT_FAILURE;
     }
-    // One client each, so that the slower kind of call does not hold up the other.
+    // Uses one client per kind of call, so that the slower kind does not delay the other.
     const auto direct_client = make_http_client();
-    const std::vector<pid_t> nodes{entry.node->pid(), server.node->pid()};
+    const std::vector<pid_t> nodes{entry.node->pid(), executor.node->pid()};
     print_idle(nodes);
     std::printf(
         "| calls/s | direct p50 | direct p99 | path p50 | path p99 | added p50 | added p99 |"
@@ -168,14 +173,14 @@
         "| ------- | ---------- | ---------- | -------- | -------- | --------- | --------- |"
         " ------ |\n");
     for (const int rate : rates_per_s) {
-        samples warm_path;
-        samples warm_direct;
-        run_rate(all.client(), *direct_client, entry, server.upstream_port, rate, warm_up_s,
-                 warm_path, warm_direct);
-        samples path;
-        samples direct;
-        run_rate(all.client(), *direct_client, entry, server.upstream_port, rate, seconds_per_rate,
-                 path, direct);
+        latency_samples warm_up_path;
+        latency_samples warm_up_direct;
+        run_rate(cluster.client(), *direct_client, entry, executor.upstream_port, rate, warm_up_s,
+                 warm_up_path, warm_up_direct);
+        latency_samples path;
+        latency_samples direct;
+        run_rate(cluster.client(), *direct_client, entry, executor.upstream_port, rate,
+                 seconds_per_rate, path, direct);
         const double direct_50 = direct.quantile(0.5);
         const double direct_99 = direct.quantile(0.99);
         const double path_50 = path.quantile(0.5);
@@ -185,9 +190,9 @@
                     path_99 - direct_99, path.failed() + direct.failed());
         std::fflush(stdout);
     }
-    for (const auto& member : all.members()) {
+    for (const auto& member : cluster.members()) {
         if (!member->node->running()) {
-            std::fprintf(stderr, "a node ended with status %d\n", member->node->wait());
+            std::fprintf(stderr, "node exited with status %d\n", member->node->wait());
             return EXIT_FAILURE;
         }
     }
--- a/benchmarks/policy_benchmark.cpp
+++ b/benchmarks/policy_benchmark.cpp
@@ -1,6 +1,6 @@
-// Compares the balancing policies with the same seeds in a model of several dispatchers in front of
-// one service. The dispatcher with its policies, outlier detection, slow start, retries, hedges and
-// probes is the real one; upstreams, network and clock are fakes.
+// Compares the balancing policies with the same seeds in a simulation of several dispatchers in
+// front of one service. Runs the dispatcher of the product with its policies, outlier detection,
+// slow start, retries, hedges and probes; upstreams, network and clock are simulated.
 
 #include "policy_model.h"
 
@@ -23,25 +23,25 @@
 namespace {
 
 constexpr milliseconds warm_up{3'000};
-constexpr milliseconds measured{15'000};
+constexpr milliseconds measurement_time{15'000};
 /// Faults begin in the middle of the measured period.
-constexpr milliseconds fault_at{8'000};
-/// A call that takes longer does not count as goodput.
-constexpr milliseconds target{200};
+constexpr milliseconds fault_time{8'000};
+/// Longest latency of a call that counts as goodput.
+constexpr milliseconds goodput_latency{200};
 
-/// Alternative to the spill-over of the default: two candidates from all data centres, compared by
-/// cost with the distance added as latency.
+/// Alternative to the spill-over of the default policy: picks two candidates from all data centres
+/// and compares their costs, to which the distance is added as latency.
 struct distance_as_latency_policy {
     static constexpr report_source reports = report_source::replies;
 
-    std::size_t choose(std::span<const candidate> candidates,
-                       const selection_context& circumstances, random_generator& random) const
+    std::size_t choose(std::span<const candidate> candidates, const selection_context& context,
+                       random_generator& random) const
     {
         const std::size_t first = random() % candidates.size();
-        const std::size_t other = random() % candidates.size();
-        return expected_cost(candidates[other], circumstances) <
-                       expected_cost(candidates[first], circumstances)
-                   ? other
+        const std::size_t second = random() % candidates.size();
+        return expected_cost(candidates[second], context) <
+                       expected_cost(candidates[first], context)
+                   ? second
                    : first;
     }
 };
@@ -56,45 +56,45 @@
     std::size_t upstreams = 12;
     std::size_t data_centres = 1;
     std::size_t dispatchers = 8;
-    /// Share of the calls that come from the first data centre.
-    double first_share = 0.5;
-    std::function<void(run&)> prepare;
+    /// Share of the calls from the first data centre, if there are two.
+    double first_data_centre_share = 0.5;
+    std::function<void(run&)> inject_faults;
 };
 
-struct figures {
+struct run_results {
     std::vector<double> latencies;
     std::uint64_t offered = 0;
-    std::uint64_t good = 0;
+    std::uint64_t in_time = 0;
     std::uint64_t attempts = 0;
 };
 
-/// One policy in one scenario.
+/// Simulates one policy in one scenario.
 class run {
 public:
-    run(const scenario& played, const std::string& policy, bool hedging, std::uint64_t seed)
-        : played_{played}, random_{seed}, seed_{seed}
+    run(const scenario& tested, const std::string& policy, bool hedging, std::uint64_t seed)
+        : scenario_{tested}, random_{seed}, seed_{seed}
     {
-        publish_document(policy);
-        for (std::size_t i = 0; i < played.upstreams; ++i) {
-            add_upstream(i % played.data_centres);
+        publish_config(policy);
+        for (std::size_t i = 0; i < tested.upstreams; ++i) {
+            add_upstream(i % tested.data_centres);
         }
         publish_members();
-        for (std::size_t i = 0; i < played.dispatchers; ++i) {
-            add_dispatcher(i % played.data_centres, hedging);
+        for (std::size_t i = 0; i < tested.dispatchers; ++i) {
+            add_dispatcher(i % tested.data_centres, hedging);
         }
     }
 
-    figures play()
+    run_results execute()
     {
-        if (played_.prepare) {
-            played_.prepare(*this);
+        if (scenario_.inject_faults) {
+            scenario_.inject_faults(*this);
         }
         start_ = loop.now();
         schedule_arrival();
-        loop.run_until(start_ + warm_up + measured);
+        loop.run_until(start_ + warm_up + measurement_time);
         arrivals_end_ = true;
-        loop.run_until(start_ + warm_up + measured + milliseconds{5'000});
-        return figures_;
+        loop.run_until(start_ + warm_up + measurement_time + milliseconds{5'000});
+        return results_;
     }
 
     fake_upstream& add_upstream(std::size_t data_centre)
@@ -127,22 +127,22 @@
     double probes_per_s()
     {
         const auto probes = counters_.counter("chestnutstand_peer_probes_total").load();
-        return static_cast<double>(probes) / ((warm_up + measured).count() / 1000);
+        return static_cast<double>(probes) / ((warm_up + measurement_time).count() / 1000);
     }
 
     event_loop loop;
     std::vector<std::unique_ptr<fake_upstream>> upstreams;
 
 private:
-    void publish_document(const std::string& policy)
+    void publish_config(const std::string& policy)
     {
         service_config service;
         service.name = "service";
         service.priorities = {{"lookup", milliseconds{100}, 1.0, true}};
         service.balancing_policy = policy;
-        auto declared = std::make_shared<document>();
-        declared->services.push_back(service);
-        configuration_.store(std::move(declared));
+        auto published = std::make_shared<document>();
+        published->services.push_back(service);
+        configuration_.store(std::move(published));
     }
 
     void add_dispatcher(std::size_t data_centre, bool hedging)
@@ -167,9 +167,9 @@
 
     void schedule_arrival()
     {
-        const double capacity_per_ms = static_cast<double>(played_.upstreams) *
+        const double capacity_per_ms = static_cast<double>(scenario_.upstreams) *
                                        fake_upstream::slots / fake_upstream::mean_service.count();
-        std::exponential_distribution<double> gap{capacity_per_ms * played_.load};
+        std::exponential_distribution<double> gap{capacity_per_ms * scenario_.load};
         loop.after(milliseconds{gap(random_)}, [this] {
             if (arrivals_end_) {
                 return;
@@ -182,32 +182,32 @@
     void arrive()
     {
         std::size_t index =
-            std::uniform_int_distribution<std::size_t>{0, played_.dispatchers - 1}(random_);
-        if (played_.data_centres == 2) {
-            const bool first =
-                std::uniform_real_distribution<double>{}(random_) < played_.first_share;
+            std::uniform_int_distribution<std::size_t>{0, scenario_.dispatchers - 1}(random_);
+        if (scenario_.data_centres == 2) {
+            const bool first = std::uniform_real_distribution<double>{}(random_) <
+                               scenario_.first_data_centre_share;
             index = index / 2 * 2 + (first ? 0 : 1);
         }
         service_call call;
         call.service = "service";
         call.priority = "lookup";
         call.retry_budget = 3;
-        const time_point begun = loop.now();
-        call.deadline = begun + milliseconds{1'000};
-        const bool counted = begun >= start_ + warm_up;
-        figures_.offered += counted ? 1 : 0;
-        dispatchers_[index]->dispatch(call, [this, begun, counted](const call_result& result) {
-            if (!counted || result.outcome != call_outcome::completed ||
+        const time_point start = loop.now();
+        call.deadline = start + milliseconds{1'000};
+        const bool is_measured = start >= start_ + warm_up;
+        results_.offered += is_measured ? 1 : 0;
+        dispatchers_[index]->dispatch(call, [this, start, is_measured](const call_result& result) {
+            if (!is_measured || result.outcome != call_outcome::completed ||
                 result.response.status != 200) {
                 return;
             }
-            const milliseconds elapsed = loop.now() - begun;
-            figures_.latencies.push_back(elapsed.count());
-            figures_.good += elapsed <= target ? 1 : 0;
+            const milliseconds elapsed = loop.now() - start;
+            results_.latencies.push_back(elapsed.count());
+            results_.in_time += elapsed <= goodput_latency ? 1 : 0;
         });
     }
 
-    const scenario& played_;
+    const scenario& scenario_;
     random_generator random_;
     std::uint64_t seed_;
     snapshot<routing_table> routes_;
@@ -218,25 +218,25 @@
     std::vector<std::unique_ptr<dispatcher>> dispatchers_;
     time_point start_;
     bool arrivals_end_ = false;
-    figures figures_;
+    run_results results_;
 };
 
-/// Changes the service time of a random upstream again and again.
-void make_noise(run& model, const std::shared_ptr<random_generator>& random)
+/// Periodically changes the service times of random upstreams.
+void vary_slowdown(run& model, const std::shared_ptr<random_generator>& random)
 {
-    fake_upstream& any = *model.upstreams[(*random)() % model.upstreams.size()];
-    any.slowdown = any.slowdown > 1.0 ? 1.0 : 4.0;
-    // Back to normal three times as often, so that about a quarter is slow at any time.
-    fake_upstream& other = *model.upstreams[(*random)() % model.upstreams.size()];
-    other.slowdown = 1.0;
-    model.loop.after(milliseconds{30}, [&model, random] { make_noise(model, random); });
+    fake_upstream& slowed = *model.upstreams[(*random)() % model.upstreams.size()];
+    slowed.slowdown = slowed.slowdown > 1.0 ? 1.0 : 4.0;
+    // Upstreams return to normal three times as often, so that about a quarter is slow at any time.
+    fake_upstream& restored = *model.upstreams[(*random)() % model.upstreams.size()];
+    restored.slowdown = 1.0;
+    model.loop.after(milliseconds{30}, [&model, random] { vary_slowdown(model, random); });
 }
 
 std::vector<scenario> all_scenarios()
 {
     const auto at_fault = [](auto change) {
         return [change](run& model) {
-            model.loop.after(fault_at, [&model, change] { change(model); });
+            model.loop.after(fault_time, [&model, change] { change(model); });
         };
     };
     return {
@@ -261,11 +261,11 @@
         {"misleading reports of 3 of 12", 0.70, 12, 1, 8, 0.5,
          [](run& model) {
              for (std::size_t i = 0; i < 3; ++i) {
-                 model.upstreams[i]->misleads = true;
+                 model.upstreams[i]->reports_no_load = true;
              }
          }},
         {"noisy neighbours", 0.50, 12, 1, 8, 0.5,
-         [](run& model) { make_noise(model, std::make_shared<random_generator>(5)); }},
+         [](run& model) { vary_slowdown(model, std::make_shared<random_generator>(5)); }},
         {"two data centres, even", 0.60, 12, 2, 8, 0.5, {}},
         {"two data centres, 80:20", 0.70, 12, 2, 8, 0.8, {}},
     };
@@ -280,24 +280,25 @@
     return sorted[std::min(index, sorted.size() - 1)];
 }
 
-void print_row(const scenario& played, const std::string& policy, bool hedging, int seeds)
+void print_row(const scenario& tested, const std::string& policy, bool hedging, int seeds)
 {
-    figures sum;
+    run_results sum;
     double probes = 0.0;
     for (int seed = 1; seed <= seeds; ++seed) {
-        run model{played, policy, hedging, static_cast<std::uint64_t>(seed)};
-        figures one = model.play();
-        sum.offered += one.offered;
-        sum.good += one.good;
-        sum.latencies.insert(sum.latencies.end(), one.latencies.begin(), one.latencies.end());
+        run model{tested, policy, hedging, static_cast<std::uint64_t>(seed)};
+        run_results results = model.execute();
+        sum.offered += results.offered;
+        sum.in_time += results.in_time;
+        sum.latencies.insert(sum.latencies.end(), results.latencies.begin(),
+                             results.latencies.end());
         probes += model.probes_per_s() / seeds;
     }
     std::sort(sum.latencies.begin(), sum.latencies.end());
-    std::printf("| %s | %s%s | %.1f | %.1f | %.1f | %.2f%% | %.1f |\n", played.name.c_str(),
+    std::printf("| %s | %s%s | %.1f | %.1f | %.1f | %.2f%% | %.1f |\n", tested.name.c_str(),
                 policy.c_str(), hedging ? "" : ", no hedges", quantile(sum.latencies, 0.5),
                 quantile(sum.latencies, 0.99), quantile(sum.latencies, 0.999),
-                100.0 * static_cast<double>(sum.good) / static_cast<double>(sum.offered),
-                probes / static_cast<double>(played.dispatchers));
+                100.0 * static_cast<double>(sum.in_time) / static_cast<double>(sum.offered),
+                probes / static_cast<double>(tested.dispatchers));
     std::fflush(stdout);
 }
 
@@ -307,12 +308,12 @@
 int main(int argc, char** argv)
 {
     const int seeds = argc > 1 ? std::atoi(argv[1]) : 2;
-    const std::string wanted = argc > 2 ? argv[2] : "";
-    const std::string only = argc > 3 ? argv[3] : "";
+    const std::string name_filter = argc > 2 ? argv[2] : "";
+    const std::string policy_filter = argc > 3 ? argv[3] : "";
     std::printf("| case | policy | p50 ms | p99 ms | p99.9 ms | goodput | probes/s per node |\n");
     std::printf("| --- | --- | --- | --- | --- | --- | --- |\n");
-    for (const scenario& played : all_scenarios()) {
-        if (played.name.find(wanted) == std::string::npos) {
+    for (const scenario& tested : all_scenarios()) {
+        if (tested.name.find(name_filter) == std::string::npos) {
             continue;
         }
         std::vector<std::string> policies{"random",
@@ -322,12 +323,12 @@
                                           "distance_as_latency",
                                           "two_choices"};
         for (const std::string& policy : policies) {
-            if (only.empty() || policy == only) {
-                print_row(played, policy, true, seeds);
+            if (policy_filter.empty() || policy == policy_filter) {
+                print_row(tested, policy, true, seeds);
             }
         }
-        if (only.empty()) {
-            print_row(played, std::string{default_policy}, false, seeds);
+        if (policy_filter.empty()) {
+            print_row(tested, std::string{default_policy}, false, seeds);
         }
     }
     return EXIT_SUCCESS;
--- a/benchmarks/policy_model.h
+++ b/benchmarks/policy_model.h
@@ -11,7 +11,7 @@
 
 namespace chestnutstand::benchmark {
 
-/// Fake of an upstream with the node beside it: slots, one queue and faults.
+/// Model of an upstream and the node beside it, with slots, one queue and faults.
 class fake_upstream final : public model_member {
 public:
     fake_upstream(event_loop& loop, std::uint64_t instance, std::size_t data_centre,
@@ -24,13 +24,14 @@
     static constexpr std::size_t queue_limit = 200;
     static constexpr milliseconds mean_service{20};
 
-    /// Factor of the service time.
+    /// Multiplier of the service time.
     double slowdown = 1.0;
-    /// Calls until the upstream is warm; the first ones take five times as long.
+    /// Number of calls until the upstream is warm. The first call takes five times as long, the
+    /// next ones linearly less.
     double cold_calls = 0.0;
     bool fails_fast = false;
-    /// Reports claim that there is no load.
-    bool misleads = false;
+    /// Load reports omit calls in flight, queues and latency.
+    bool reports_no_load = false;
 
 private:
     struct job {
@@ -39,12 +40,12 @@
     };
 
     void start(job next);
-    void finish(const job& ended, milliseconds elapsed);
+    void finish(const job& finished, milliseconds elapsed);
     milliseconds service_time();
 
     event_loop& loop_;
     random_generator random_;
-    std::uint32_t busy_ = 0;
+    std::uint32_t busy_slots_ = 0;
     double served_ = 0.0;
     milliseconds latency_{0};
     std::deque<job> queue_;
--- a/benchmarks/replay_benchmark.cpp
+++ b/benchmarks/replay_benchmark.cpp
@@ -1,5 +1,6 @@
-// Prints, for each load pattern and kind of request, what became of the requests with the decisions
-// of the product and with each of them replaced by the simpler one before it. Decides nothing.
+// Prints the results of the requests by load pattern and kind of request, for the policies of the
+// product and for variants that each replace one of them by its simpler predecessor. Has no pass
+// criterion.
 
 #include "../unittests/replay/replay_model.h"
 
@@ -17,34 +18,34 @@
 
 struct variant {
     std::string name;
-    policy_options chosen;
+    policy_options options;
 };
 
 std::vector<variant> variants()
 {
-    std::vector<variant> all{{"product", {}}};
+    std::vector<variant> result{{"product", {}}};
     const auto add = [&](std::string name, auto change) {
-        all.push_back({std::move(name), {}});
-        change(all.back().chosen);
+        result.push_back({std::move(name), {}});
+        change(result.back().options);
     };
-    add("order of arrival", [](policy_options& without) { without.by_urgency = false; });
-    add("pace ignored", [](policy_options& without) { without.follow_pace = false; });
-    add("fixed limit", [](policy_options& without) { without.adaptive_limit = false; });
+    add("order of arrival", [](policy_options& options) { options.by_urgency = false; });
+    add("pace ignored", [](policy_options& options) { options.follow_pace = false; });
+    add("fixed limit", [](policy_options& options) { options.adaptive_limit = false; });
     add("all rejections lower the limit",
-        [](policy_options& without) { without.ignore_rejections_with_free_slots = false; });
-    add("return after 1 s", [](policy_options& without) { without.retry_within_target = false; });
+        [](policy_options& options) { options.ignore_rejections_with_free_slots = false; });
+    add("return after 1 s", [](policy_options& options) { options.retry_within_target = false; });
     add("abandoned requests run",
-        [](policy_options& without) { without.cancel_abandoned = false; });
-    add("random placement", [](policy_options& without) { without.balancing = "random"; });
-    return all;
+        [](policy_options& options) { options.cancel_abandoned = false; });
+    add("random placement", [](policy_options& options) { options.balancing = "random"; });
+    return result;
 }
 
-void print_row(const pattern& load, const variant& played, std::uint64_t seeds)
+void print_row(const pattern& load, const variant& tested, std::uint64_t seeds)
 {
-    const replay_settings described = refund_desk();
-    std::vector<kind_result> sums(described.kinds.size());
+    const replay_settings settings = refund_desk();
+    std::vector<kind_result> sums(settings.kinds.size());
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        const auto results = model{described, played.chosen, seed}.play(load);
+        const auto results = model{settings, tested.options, seed}.play(load);
         for (std::size_t i = 0; i < sums.size(); ++i) {
             sums[i].offered += results[i].offered;
             sums[i].in_target += results[i].in_target;
@@ -60,7 +61,7 @@
             return 100.0 * static_cast<double>(part) / static_cast<double>(sums[i].offered);
         };
         std::printf("| %s | %s | %s | %llu | %.1f | %.1f | %.1f | %.1f | %.1f | %.1f |\n",
-                    load.name.c_str(), played.name.c_str(), described.kinds[i].name.c_str(),
+                    load.name.c_str(), tested.name.c_str(), settings.kinds[i].name.c_str(),
                     static_cast<unsigned long long>(sums[i].offered), percent(sums[i].in_target),
                     percent(sums[i].late), percent(sums[i].refused_at_once),
                     percent(sums[i].refused_after_waiting), percent(sums[i].failed),
@@ -77,17 +78,17 @@
 {
     init_logging(log_level::error);
     const auto seeds = static_cast<std::uint64_t>(argc > 1 ? std::atoi(argv[1]) : 5);
-    const std::string wanted = argc > 2 ? argv[2] : "";
-    const std::string only = argc > 3 ? argv[3] : "";
+    const std::string pattern_filter = argc > 2 ? argv[2] : "";
+    const std::string variant_filter = argc > 3 ? argv[3] : "";
     std::printf(
         "| pattern | decisions | kind | offered | in target %% | late %% | refused at once %% "
         "| refused after waiting %% | failed %% | held s |\n");
     std::printf("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
     for (const pattern& load : patterns()) {
-        for (const variant& played : variants()) {
-            if (load.name.find(wanted) != std::string::npos &&
-                played.name.find(only) != std::string::npos) {
-                print_row(load, played, seeds);
+        for (const variant& tested : variants()) {
+            if (load.name.find(pattern_filter) != std::string::npos &&
+                tested.name.find(variant_filter) != std::string::npos) {
+                print_row(load, tested, seeds);
             }
         }
     }
