--- a/lib/node/components/ingress_component.cpp
+++ b/lib/node/components/ingress_component.cpp
@@ -35,7 +35,7 @@
         options.port = address.port;
         options.threads = config.http_threads;
         options.current_limits = [&node] { return limits_of(node); };
-        options.refuse = [this](const request_refusal& error) {
+        options.make_refusal_response = [this](const request_refusal& error) {
             return ingress_->refuse_unreadable(error);
         };
         server_ = std::make_unique<http_server>(
