--- a/benchmarks/replay_benchmark.cpp
+++ b/benchmarks/replay_benchmark.cpp
@@ -29,7 +29,7 @@
         change(result.back().options);
     };
     add("order of arrival", [](policy_options& options) { options.by_urgency = false; });
-    add("pace ignored", [](policy_options& options) { options.follow_pace = false; });
+    add("pace ignored", [](policy_options& options) { options.follow_slowdown = false; });
     add("fixed limit", [](policy_options& options) { options.adaptive_limit = false; });
     add("all rejections lower the limit",
         [](policy_options& options) { options.ignore_rejections_with_free_slots = false; });
