--- a/lib/node/executor_pace.cpp
+++ b/lib/node/executor_pace.cpp
@@ -19,7 +19,7 @@
 bool executor::should_wait_for_pace(const service_call& call, time_point now)
 {
     if (call.repeat == repeatability::by_class || names_.upstream_load.empty() ||
-        health_path().empty() || pace_.has_recent_report(now) || now < pace_probes_paused_until_) {
+        health_path().empty() || pace_.has_fresh_report(now) || now < pace_probes_paused_until_) {
         return false;
     }
     return pace_probe_running_ || pace_probe_budget_.try_take(now);
@@ -65,7 +65,7 @@
                          const std::lock_guard lock{mutex_};
                          pace_probe_running_ = false;
                          waiting_calls.swap(waiting_for_pace_);
-                         if (!pace_.has_recent_report(now)) {
+                         if (!pace_.has_fresh_report(now)) {
                              pace_probes_paused_until_ = now + pace_probe_backoff;
                          }
                      }
