--- a/include/chestnutstand/admission/reported_load.h
+++ b/include/chestnutstand/admission/reported_load.h
@@ -13,7 +13,7 @@
     std::uint32_t slots = 0;
     /// Current service time on the VM of the upstream relative to its usual one; 2 means that
     /// requests take twice as long.
-    double pace = 1.0;
+    double slowdown = 1.0;
 
     bool has_free_slot() const { return waiting == 0 && running < slots; }
 };
--- a/include/chestnutstand/routing/peer_load.h
+++ b/include/chestnutstand/routing/peer_load.h
@@ -28,7 +28,7 @@
     /// Response time of the upstream from the last report, excluding the network.
     milliseconds reported_latency{0};
     /// From the last report: current duration of work as a multiple of its usual duration.
-    double pace = 1.0;
+    double slowdown = 1.0;
     /// Age of the last report; empty without one.
     std::optional<milliseconds> report_age;
 };
@@ -77,7 +77,7 @@
     std::array<std::uint16_t, urgency_index_count> queued_{};
     float latency_ms_ = 0.0F;
     float reported_latency_ms_ = 0.0F;
-    float pace_ = 1.0F;
+    float slowdown_ = 1.0F;
     /// Default value while there is no report.
     time_point reported_at_{};
     time_point latency_updated_at_{};
--- a/lib/admission/reported_load.cpp
+++ b/lib/admission/reported_load.cpp
@@ -38,10 +38,10 @@
             return std::nullopt;
         }
     }
-    if (!consume_number(text, load.pace) || !text.empty() || load.pace <= 0.0) {
+    if (!consume_number(text, load.slowdown) || !text.empty() || load.slowdown <= 0.0) {
         return std::nullopt;
     }
-    load.pace /= usual_slowdown_percent;
+    load.slowdown /= usual_slowdown_percent;
     return load;
 }
 
--- a/lib/node/executor_pace.cpp
+++ b/lib/node/executor_pace.cpp
@@ -98,7 +98,7 @@
         return;
     }
     const std::lock_guard lock{mutex_};
-    pace_.observe(load->pace, now);
+    pace_.observe(load->slowdown, now);
     update_queue_pace(now);
 }
 
--- a/lib/routing/balancing_policy.cpp
+++ b/lib/routing/balancing_policy.cpp
@@ -20,8 +20,8 @@
 /// queue above it.
 constexpr double spare_capacity_below = 0.8;
 
-/// A peer whose VM has at least this pace counts as slow while its report is recent. Other VMs on
-/// the same hardware slow it down for a few hundred milliseconds at a time.
+/// A peer whose VM has at least this slowdown counts as slow while its report is recent. Other VMs
+/// on the same hardware slow it down for a few hundred milliseconds at a time.
 constexpr double slow_peer_slowdown = 1.5;
 constexpr milliseconds slowdown_max_age{150};
 
@@ -126,7 +126,7 @@
 
 bool is_slow(const load_view& view)
 {
-    return view.pace >= slow_peer_slowdown && view.report_age &&
+    return view.slowdown >= slow_peer_slowdown && view.report_age &&
            *view.report_age <= slowdown_max_age;
 }
 
@@ -213,8 +213,8 @@
 double expected_cost(const candidate& peer, const selection_context& context)
 {
     const load_view view = peer.load->read(context.rank, context.now);
-    const double pace = is_slow(view) ? view.pace : 1.0;
-    return queueing_cost(estimated_load(view), view, peer.distance) * pace;
+    const double slowdown = is_slow(view) ? view.slowdown : 1.0;
+    return queueing_cost(estimated_load(view), view, peer.distance) * slowdown;
 }
 
 } // namespace chestnutstand
--- a/lib/routing/peer_load.cpp
+++ b/lib/routing/peer_load.cpp
@@ -64,7 +64,7 @@
         length = clamp_to_uint16(length + queue.length);
     }
     reported_latency_ms_ = static_cast<float>(report.latency.count());
-    pace_ = static_cast<float>(report.pace);
+    slowdown_ = static_cast<float>(report.pace);
     sent_since_report_ = 0;
     silent_since_ = now;
     reported_at_ = now;
@@ -83,7 +83,7 @@
     view.limit = limit_;
     view.latency = decayed_latency(now);
     view.reported_latency = milliseconds{reported_latency_ms_};
-    view.pace = pace_;
+    view.slowdown = slowdown_;
     if (reported_at_ != time_point{}) {
         view.report_age = now - reported_at_;
     }
--- a/unittests/admission/reported_load_test.cpp
+++ b/unittests/admission/reported_load_test.cpp
@@ -13,7 +13,7 @@
     EXPECT_EQ(load->running, 3U);
     EXPECT_EQ(load->waiting, 1U);
     EXPECT_EQ(load->slots, 8U);
-    EXPECT_DOUBLE_EQ(load->pace, 2.5);
+    EXPECT_DOUBLE_EQ(load->slowdown, 2.5);
     EXPECT_FALSE(load->has_free_slot());
     EXPECT_TRUE(parse_reported_load("7,0,8,100")->has_free_slot());
     EXPECT_FALSE(parse_reported_load("8,0,8,100")->has_free_slot());
--- a/unittests/replay/patterns.cpp
+++ b/unittests/replay/patterns.cpp
@@ -44,8 +44,8 @@
                        const std::shared_ptr<std::mt19937_64>& random)
 {
     replay_member& member = simulation.member(index);
-    member.pace = member.pace > 1.0 ? 1.0 : 4.0;
-    std::exponential_distribution<double> length{1.0 / (member.pace > 1.0 ? 150.0 : 450.0)};
+    member.vm_slowdown = member.vm_slowdown > 1.0 ? 1.0 : 4.0;
+    std::exponential_distribution<double> length{1.0 / (member.vm_slowdown > 1.0 ? 150.0 : 450.0)};
     const milliseconds next{std::max(1.0, length(*random))};
     simulation.after(
         next, [&simulation, index, random] { toggle_contention(simulation, index, random); });
@@ -96,9 +96,10 @@
         {"calm", [](model&) {}},
         burst("burst of one kind", normal_kind, 2.5),
         burst("burst of the most urgent kind", urgent_kind, 4.0),
-        on_members(
-            "slow upstream", 2,
-            [](replay_member& member, bool active) { member.slowdown = active ? 8.0 : 1.0; }),
+        on_members("slow upstream", 2,
+                   [](replay_member& member, bool active) {
+                       member.unreported_slowdown = active ? 8.0 : 1.0;
+                   }),
         on_members("failing fast", 2,
                    [](replay_member& member, bool active) { member.fails_fast = active; }),
         on_members("full and mute", 2,
--- a/unittests/replay/replay_member.cpp
+++ b/unittests/replay/replay_member.cpp
@@ -41,7 +41,7 @@
 
 bool replay_member::refuses(const service_call& call) const
 {
-    return options_.follow_slowdown && call.movable && pace_.slow(loop_.now());
+    return options_.follow_slowdown && call.movable && slowdown_.slow(loop_.now());
 }
 
 void replay_member::execute(const service_call& call, call_done done)
@@ -73,7 +73,7 @@
 void replay_member::take_decisions()
 {
     if (options_.follow_slowdown) {
-        queue_.set_slowdown(pace_.slow(loop_.now()) ? pace_.factor(loop_.now()) : 1.0);
+        queue_.set_slowdown(slowdown_.slow(loop_.now()) ? slowdown_.factor(loop_.now()) : 1.0);
     }
     while (const auto decision = queue_.next(loop_.now())) {
         if (decision->starts()) {
@@ -95,8 +95,8 @@
     loop_.after(expiry_step, [this] {
         expiry_check_scheduled_ = false;
         // An upstream without work sends no reports, so a slow one is polled until it recovers.
-        if (pace_.needs_refresh(loop_.now())) {
-            pace_.observe(pace, loop_.now());
+        if (slowdown_.needs_refresh(loop_.now())) {
+            slowdown_.observe(vm_slowdown, loop_.now());
         }
         take_decisions();
     });
@@ -105,8 +105,8 @@
 void replay_member::start(std::uint64_t id)
 {
     const auto entry = executions_.at(id);
-    // The node polls an idle upstream before it sends work, so that the pace is always recent.
-    pace_.observe(pace, loop_.now());
+    // The node polls an idle upstream before it sends work, so that the slowdown is always recent.
+    slowdown_.observe(vm_slowdown, loop_.now());
     entry->started = true;
     entry->started_at = loop_.now();
     if (stalls_from > 0 && busy_ >= stalls_from) {
@@ -134,7 +134,7 @@
         std::max(0.0, busy_ - contention_start * slots) / ((1.0 - contention_start) * slots);
     const double cold = loop_.now() < warm_at ? cold_factor : 1.0;
     const double usual = std::strtod(entry.call.request.body.c_str(), nullptr);
-    return milliseconds{usual * spread(random_) * pace * slowdown * cold *
+    return milliseconds{usual * spread(random_) * vm_slowdown * unreported_slowdown * cold *
                         (1.0 + (max_contention_factor - 1.0) * full)};
 }
 
@@ -150,7 +150,7 @@
         return;
     }
     --busy_;
-    pace_.observe(pace, loop_.now());
+    slowdown_.observe(vm_slowdown, loop_.now());
     const milliseconds elapsed = loop_.now() - found->second->started_at;
     call_result result;
     if (status == status_rejected) {
@@ -208,7 +208,7 @@
     load_report load = queue_.report();
     load.instance = instance();
     load.upstream_registered = true;
-    load.pace = options_.follow_slowdown ? pace_.factor(loop_.now()) : 1.0;
+    load.pace = options_.follow_slowdown ? slowdown_.factor(loop_.now()) : 1.0;
     return load;
 }
 
--- a/unittests/replay/replay_member.h
+++ b/unittests/replay/replay_member.h
@@ -33,7 +33,7 @@
 };
 
 /// Model of an upstream that gets slower when it is nearly full, together with its node, which uses
-/// the admission queue and pace tracking of the product.
+/// the admission queue and slowdown tracking of the product.
 class replay_member final : public model_member {
 public:
     replay_member(event_loop& loop, std::uint64_t instance, std::size_t data_centre,
@@ -50,9 +50,9 @@
     // Behaviour of the upstream; may be changed during the simulation.
 
     /// Factor on the duration of work that starts now, caused by other VMs on the hardware.
-    double pace = 1.0;
+    double vm_slowdown = 1.0;
     /// Factor on the duration that its reports do not show.
-    double slowdown = 1.0;
+    double unreported_slowdown = 1.0;
     /// Factor on the duration until warm_at, while a new process warms up.
     double cold_factor = 1.0;
     time_point warm_at;
@@ -91,7 +91,7 @@
     event_loop& loop_;
     policy_options options_;
     admission_queue queue_;
-    upstream_slowdown pace_;
+    upstream_slowdown slowdown_;
     std::mt19937_64 random_;
     std::unordered_map<std::uint64_t, execution_ptr> executions_;
     std::uint64_t last_id_ = 0;
