--- a/include/chestnutstand/admission/admission_queue.h
+++ b/include/chestnutstand/admission/admission_queue.h
@@ -122,7 +122,7 @@
     bool has_room(std::size_t priority, time_point now) const;
     bool is_worth_starting(const class_queue& queue, time_point now) const;
     std::uint32_t headroom(std::size_t priority, time_point now) const;
-    std::optional<queue_decision> expire(time_point now);
+    std::optional<queue_decision> next_refusal(time_point now);
     double dispatches_per_ms(std::size_t priority, time_point now) const;
     void sort_by_urgency();
 
--- a/include/chestnutstand/admission/class_queue.h
+++ b/include/chestnutstand/admission/class_queue.h
@@ -50,11 +50,11 @@
     void push(const queued_request& request, time_point now);
     bool remove(std::uint64_t id);
     /// The request to serve next; the queue must not be empty. Requests that have become late since
-    /// the last pop(), expire() or requests_ahead() still count as in time.
+    /// the last pop(), take_refused() or requests_ahead() still count as in time.
     const queued_request& front() const;
     queued_request pop(time_point now);
     /// Removes and returns a request that has to be refused now, if there is one.
-    std::optional<refused_request> expire(time_point now);
+    std::optional<refused_request> take_refused(time_point now);
     /// Removes and returns any one request; used to empty the queue of a removed class.
     std::optional<queued_request> evict();
     /// Earliest time at which a queued request may have to be refused.
@@ -66,7 +66,7 @@
     milliseconds target_slack(time_point now) const;
     /// True once the queue has been non-empty for longer than a burst that the capacity can absorb,
     /// until it is empty and no request has been refused because of the overload for some time.
-    bool overloaded(time_point now);
+    bool update_overloaded(time_point now);
     /// Records a refusal caused by the overload, which prolongs the overloaded state.
     void note_overload_refusal(time_point now) { last_overload_refusal_ = now; }
 
--- a/include/chestnutstand/admission/retry_delay.h
+++ b/include/chestnutstand/admission/retry_delay.h
@@ -12,12 +12,12 @@
 /// Load pattern: a burst that fills the queues for longer than a latency target. A later retry is
 /// as likely to be refused again and is served late if admitted. Callers that all retry at once
 /// would form a new burst.
-inline milliseconds retry_delay(milliseconds latency_target, double position)
+inline milliseconds retry_delay(milliseconds latency_target, double spread)
 {
     constexpr double min_target_fraction = 0.25;
     constexpr double max_target_fraction = 0.5;
     return latency_target *
-           (min_target_fraction + (max_target_fraction - min_target_fraction) * position);
+           (min_target_fraction + (max_target_fraction - min_target_fraction) * spread);
 }
 
 } // namespace chestnutstand
--- a/include/chestnutstand/routing/balancing_policy.h
+++ b/include/chestnutstand/routing/balancing_policy.h
@@ -26,7 +26,7 @@
 /// Properties of the call to place and the time of the choice.
 struct selection_context {
     /// Rank of the call's priority class, 0 for the most urgent.
-    std::size_t rank = 0;
+    std::size_t urgency_index = 0;
     time_point now;
 };
 
--- a/include/chestnutstand/routing/peer_load.h
+++ b/include/chestnutstand/routing/peer_load.h
@@ -48,7 +48,7 @@
     /// Stores a load report that came with a reply or a probe.
     void record_report(const load_report& report, const priority_order& order, time_point now);
 
-    load_view read(std::size_t rank, time_point now) const;
+    load_view read(std::size_t urgency_index, time_point now) const;
 
     /// Time since the last report, or since calls of this node began to be in flight if that is
     /// later; zero while none is.
--- a/include/chestnutstand/routing/priority_order.h
+++ b/include/chestnutstand/routing/priority_order.h
@@ -38,7 +38,7 @@
     }
 
     /// Rank of a class, 0 for the most urgent; an unknown class ranks after all others.
-    std::size_t rank(std::string_view priority) const
+    std::size_t urgency_index(std::string_view priority) const
     {
         const auto found = std::find(names_.begin(), names_.end(), priority);
         const auto index = static_cast<std::size_t>(found - names_.begin());
--- a/include/chestnutstand/routing/retry_budget.h
+++ b/include/chestnutstand/routing/retry_budget.h
@@ -14,7 +14,7 @@
 /// of the calls to the service plus a fixed number.
 struct fleet_retry_limits {
     double ratio = 0.0;
-    double slack = 0.0;
+    double fixed_retries = 0.0;
     milliseconds window{0};
 };
 
@@ -33,8 +33,10 @@
 /// the slack for nodes that are not counted yet.
 inline retry_share share_per_node(const fleet_retry_limits& limits, std::size_t nodes)
 {
-    const double slack = limits.slack / static_cast<double>(std::max<std::size_t>(nodes, 1));
-    return {limits.ratio / 2.0, slack / 2.0 / (limits.window.count() / 1000.0), slack / 4.0};
+    const double fixed_per_node =
+        limits.fixed_retries / static_cast<double>(std::max<std::size_t>(nodes, 1));
+    return {limits.ratio / 2.0, fixed_per_node / 2.0 / (limits.window.count() / 1000.0),
+            fixed_per_node / 4.0};
 }
 
 /// Token bucket for the retries and hedges that one node sends to one service. It is filled by a
--- a/include/chestnutstand/routing/service_peers.h
+++ b/include/chestnutstand/routing/service_peers.h
@@ -43,7 +43,7 @@
     std::shared_ptr<peer> find(std::uint64_t instance) const;
 
     /// Whether the member should only get a call if no other can.
-    bool is_avoided(const peer& entry, time_point now) const;
+    bool is_avoided_or_ejected(const peer& entry, time_point now) const;
 
     /// Members that may get a call now, except the excluded instances. A member whose share of
     /// traffic is reduced is included at random with a probability of that share. When all members
--- a/include/chestnutstand/routing/upstream_selector.h
+++ b/include/chestnutstand/routing/upstream_selector.h
@@ -58,8 +58,8 @@
     std::shared_ptr<peer> find(const std::string& service, const node_reference& node);
 
     /// Sorts the nodes by expected cost, lowest first. Avoided and unknown nodes come last.
-    std::vector<node_reference> rank(const std::string& service, std::string_view priority,
-                                     std::vector<node_reference> nodes);
+    std::vector<node_reference> sort_by_cost(const std::string& service, std::string_view priority,
+                                             std::vector<node_reference> nodes);
 
     /// Returns up to count different members, each chosen by the policy of the service.
     std::vector<node_reference> choose_distinct(const std::string& service,
--- a/lib/admission/admission_queue.cpp
+++ b/lib/admission/admission_queue.cpp
@@ -105,7 +105,7 @@
     }
     // An empty queue accepts one request regardless of the estimate, so that the class stays
     // backlogged and receives its guaranteed share.
-    if (!queue.empty() && queue.overloaded(now) &&
+    if (!queue.empty() && queue.update_overloaded(now) &&
         wait > queue.target_slack(now) * overloaded_wait_slack_fraction) {
         queue.note_overload_refusal(now);
         return reason_code::queue_full;
@@ -115,8 +115,8 @@
 
 std::optional<queue_decision> admission_queue::next(time_point now)
 {
-    if (auto expired = expire(now)) {
-        return expired;
+    if (auto refused = next_refusal(now)) {
+        return refused;
     }
     if (const auto priority = pick(now)) {
         return start_next_of(*priority, now);
@@ -124,7 +124,7 @@
     return std::nullopt;
 }
 
-std::optional<queue_decision> admission_queue::expire(time_point now)
+std::optional<queue_decision> admission_queue::next_refusal(time_point now)
 {
     if (!requests_of_removed_classes_.empty()) {
         const auto request = requests_of_removed_classes_.front();
@@ -132,10 +132,10 @@
         return queue_decision{request.id, reason_code::unknown_priority, now - request.arrived};
     }
     for (auto& queue : classes_) {
-        if (const auto expired = queue.expire(now)) {
-            queued_.erase(expired->request.id);
-            return queue_decision{expired->request.id, expired->reason,
-                                  now - expired->request.arrived};
+        if (const auto refused = queue.take_refused(now)) {
+            queued_.erase(refused->request.id);
+            return queue_decision{refused->request.id, refused->reason,
+                                  now - refused->request.arrived};
         }
     }
     return std::nullopt;
--- a/lib/admission/class_queue.cpp
+++ b/lib/admission/class_queue.cpp
@@ -64,7 +64,7 @@
     return extract(in_time_.empty() ? late_.front().id : in_time_.front().id);
 }
 
-std::optional<refused_request> class_queue::expire(time_point now)
+std::optional<refused_request> class_queue::take_refused(time_point now)
 {
     if (empty()) {
         return std::nullopt;
@@ -75,7 +75,7 @@
         return refused_request{extract(id), reason_code::deadline_unmeetable};
     }
     move_late_requests(now);
-    if (!late_.empty() && overloaded(now)) {
+    if (!late_.empty() && update_overloaded(now)) {
         note_overload_refusal(now);
         return refused_request{extract(late_.front().id), reason_code::queue_timeout};
     }
@@ -115,7 +115,7 @@
                     config_.latency_target * min_slack_target_fraction);
 }
 
-bool class_queue::overloaded(time_point now)
+bool class_queue::update_overloaded(time_point now)
 {
     if (!overloaded_ && non_empty_since_ && now - *non_empty_since_ >= overload_interval()) {
         overloaded_ = true;
--- a/lib/node/dispatcher.cpp
+++ b/lib/node/dispatcher.cpp
@@ -473,7 +473,7 @@
 std::vector<node_reference> dispatcher::rank(const std::string& service, std::string_view priority,
                                              std::vector<node_reference> candidates)
 {
-    return core_->selector().rank(service, priority, std::move(candidates));
+    return core_->selector().sort_by_cost(service, priority, std::move(candidates));
 }
 
 std::vector<node_reference> dispatcher::choose_distinct(const std::string& service,
--- a/lib/routing/balancing_policy.cpp
+++ b/lib/routing/balancing_policy.cpp
@@ -73,7 +73,7 @@
         std::size_t ties = 0;
         for (std::size_t i = 0; i < candidates.size(); ++i) {
             const std::uint32_t in_flight =
-                candidates[i].load->read(context.rank, context.now).own_in_flight;
+                candidates[i].load->read(context.urgency_index, context.now).own_in_flight;
             if (in_flight > lowest) {
                 continue;
             }
@@ -145,7 +145,7 @@
     std::vector<bool> available(candidates.size());
     milliseconds nearest = milliseconds::max();
     for (std::size_t i = 0; i < candidates.size(); ++i) {
-        const load_view view = candidates[i].load->read(context.rank, context.now);
+        const load_view view = candidates[i].load->read(context.urgency_index, context.now);
         available[i] = has_spare_capacity(view);
         if (available[i]) {
             nearest = std::min(nearest, candidates[i].distance);
@@ -189,7 +189,7 @@
                        random_generator& random) const
     {
         return cheaper_of_two(candidates, random, [&](const candidate& peer) {
-            const load_view view = peer.load->read(context.rank, context.now);
+            const load_view view = peer.load->read(context.urgency_index, context.now);
             return queueing_cost(static_cast<double>(view.in_flight) + view.queued_ahead, view,
                                  peer.distance);
         });
@@ -212,7 +212,7 @@
 
 double expected_cost(const candidate& peer, const selection_context& context)
 {
-    const load_view view = peer.load->read(context.rank, context.now);
+    const load_view view = peer.load->read(context.urgency_index, context.now);
     const double slowdown = is_slow(view) ? view.slowdown : 1.0;
     return queueing_cost(estimated_load(view), view, peer.distance) * slowdown;
 }
--- a/lib/routing/peer_load.cpp
+++ b/lib/routing/peer_load.cpp
@@ -60,7 +60,7 @@
     limit_ = clamp_to_uint16(report.limit);
     queued_.fill(0);
     for (const queue_length& queue : report.queues) {
-        std::uint16_t& length = queued_[order.rank(queue.priority)];
+        std::uint16_t& length = queued_[order.urgency_index(queue.priority)];
         length = clamp_to_uint16(length + queue.length);
     }
     reported_latency_ms_ = static_cast<float>(report.latency.count());
@@ -70,14 +70,14 @@
     reported_at_ = now;
 }
 
-load_view peer_load::read(std::size_t rank, time_point now) const
+load_view peer_load::read(std::size_t urgency_index, time_point now) const
 {
     const std::lock_guard lock{mutex_};
     load_view view;
     view.own_in_flight = own_in_flight_;
     view.sent_since_report = sent_since_report_;
     view.in_flight = in_flight_;
-    for (std::size_t i = 0; i <= rank && i < queued_.size(); ++i) {
+    for (std::size_t i = 0; i <= urgency_index && i < queued_.size(); ++i) {
         view.queued_ahead += queued_[i];
     }
     view.limit = limit_;
--- a/lib/routing/service_peers.cpp
+++ b/lib/routing/service_peers.cpp
@@ -39,7 +39,7 @@
     return found == peers_.end() ? nullptr : *found;
 }
 
-bool service_peers::is_avoided(const peer& entry, time_point now) const
+bool service_peers::is_avoided_or_ejected(const peer& entry, time_point now) const
 {
     return entry.load.is_avoided(now) || outliers_.share(entry.node.instance, now) <= 0.0;
 }
@@ -55,7 +55,7 @@
         if (std::find(excluded.begin(), excluded.end(), instance) != excluded.end()) {
             continue;
         }
-        if (is_avoided(*entry, now)) {
+        if (is_avoided_or_ejected(*entry, now)) {
             avoided_members.push_back(entry);
             continue;
         }
--- a/lib/routing/upstream_selector.cpp
+++ b/lib/routing/upstream_selector.cpp
@@ -41,9 +41,9 @@
 constexpr std::size_t max_refusals_most_urgent = 4;
 constexpr std::size_t max_refusals_others = 2;
 
-std::size_t max_refusals_before_filter(std::size_t rank)
+std::size_t max_refusals_before_filter(std::size_t urgency_index)
 {
-    return rank == 0 ? max_refusals_most_urgent : max_refusals_others;
+    return urgency_index == 0 ? max_refusals_most_urgent : max_refusals_others;
 }
 
 /// Whether the reason shows that the member currently accepts no calls at all.
@@ -169,11 +169,11 @@
                                                        std::size_t queue_refusals)
 {
     const time_point now = options_.now();
-    const selection_context context{state.order.rank(priority), now};
+    const selection_context context{state.order.urgency_index(priority), now};
     peer_list eligible = state.peers.eligible(excluded, now, random_);
-    if (queue_refusals >= max_refusals_before_filter(context.rank)) {
+    if (queue_refusals >= max_refusals_before_filter(context.urgency_index)) {
         std::erase_if(eligible, [&](const auto& entry) {
-            return !has_known_spare_capacity(entry->load.read(context.rank, now));
+            return !has_known_spare_capacity(entry->load.read(context.urgency_index, now));
         });
     }
     if (eligible.empty()) {
@@ -210,36 +210,37 @@
     return entry;
 }
 
-std::vector<node_reference> upstream_selector::rank(const std::string& service,
-                                                    std::string_view priority,
-                                                    std::vector<node_reference> nodes)
+std::vector<node_reference> upstream_selector::sort_by_cost(const std::string& service,
+                                                            std::string_view priority,
+                                                            std::vector<node_reference> nodes)
 {
-    struct ranked {
+    struct sort_entry {
         bool avoided = true;
         double cost = 0.0;
         node_reference node;
     };
-    std::vector<ranked> order;
+    std::vector<sort_entry> order;
     const time_point now = options_.now();
     {
         const std::lock_guard lock{mutex_};
         const service_state* state = find_service(service);
         for (node_reference& node : nodes) {
             const auto entry = state == nullptr ? nullptr : state->peers.find(node.instance);
-            ranked item{true, 0.0, std::move(node)};
+            sort_entry item{true, 0.0, std::move(node)};
             if (entry) {
-                item.avoided = state->peers.is_avoided(*entry, now);
-                item.cost =
-                    expected_cost(candidate_for(*entry), {state->order.rank(priority), now});
+                item.avoided = state->peers.is_avoided_or_ejected(*entry, now);
+                item.cost = expected_cost(candidate_for(*entry),
+                                          {state->order.urgency_index(priority), now});
             }
             order.push_back(std::move(item));
         }
     }
-    std::stable_sort(order.begin(), order.end(), [](const ranked& left, const ranked& right) {
-        return left.avoided != right.avoided ? right.avoided : left.cost < right.cost;
-    });
+    std::stable_sort(
+        order.begin(), order.end(), [](const sort_entry& left, const sort_entry& right) {
+            return left.avoided != right.avoided ? right.avoided : left.cost < right.cost;
+        });
     nodes.clear();
-    for (ranked& item : order) {
+    for (sort_entry& item : order) {
         nodes.push_back(std::move(item.node));
     }
     return nodes;
--- a/unittests/routing/peer_load_test.cpp
+++ b/unittests/routing/peer_load_test.cpp
@@ -32,8 +32,8 @@
     load_report report;
     report.queues = {{"bulk", 30}, {"urgent", 2}};
     load.record_report(report, order, start);
-    EXPECT_EQ(load.read(order.rank("urgent"), start).queued_ahead, 2U);
-    EXPECT_EQ(load.read(order.rank("bulk"), start).queued_ahead, 32U);
+    EXPECT_EQ(load.read(order.urgency_index("urgent"), start).queued_ahead, 2U);
+    EXPECT_EQ(load.read(order.urgency_index("bulk"), start).queued_ahead, 32U);
 }
 
 // Guards against fast failures that lower the latency of a peer, and against timeouts that do not
--- a/unittests/routing/retry_budget_test.cpp
+++ b/unittests/routing/retry_budget_test.cpp
@@ -182,7 +182,7 @@
             }
         }
     }
-    EXPECT_LE(retries, limits.ratio * calls + limits.slack);
+    EXPECT_LE(retries, limits.ratio * calls + limits.fixed_retries);
     EXPECT_GE(retries, limits.ratio * calls / 4.0);
 }
 
