--- a/include/chestnutstand/admission/admission_queue.h
+++ b/include/chestnutstand/admission/admission_queue.h
@@ -43,13 +43,23 @@
 /// refused. It stores only request ids; the caller owns the requests. It does no I/O and reads no
 /// clock. Not thread-safe.
 ///
-/// Order: the class with the lowest latency target is served first, except that a class whose
-/// guaranteed share has earned it a whole dispatch is served next. Each dispatch credits every
-/// backlogged class with its guaranteed share, reserve x weight / sum of weights, and debits the
-/// dispatched class by one. With K classes, the credit of a class stays below H(K) + its share,
-/// where H(K) = 1 + 1/2 + ... + 1/K: the known bound for always serving the largest of K counters
-/// that together grow by at most one per step. Of N dispatches during which a class was backlogged,
-/// the class therefore receives at least its share of N, minus that bound.
+/// Order: classes are served by configured rank, then by latency target, the lowest first, then by
+/// position in the document. A class that has earned a whole dispatch by its guaranteed share,
+/// reserve x weight / sum of weights, is served before all others.
+///
+/// Guarantee: a class that has queued requests throughout N dispatches of any class receives at
+/// least N x share - (H(K) + share) of them, where share is its guaranteed share, K the number of
+/// classes and H(K) = 1 + 1/2 + ... + 1/K. It does not hold while the class is held back because
+/// the upstream is slow; see set_slowdown().
+///
+/// To this end, each class has a credit, the number of dispatches that it has earned but not
+/// received. Each dispatch adds its guaranteed share to the credit of every class that has queued
+/// requests. A class that has none gains its share as well if, since it last had any, it refused
+/// an arriving request because of its deadline; its credit is capped at one. The dispatched class
+/// then pays one, but its credit does not fall below zero, so a class that was served beyond its
+/// share owes nothing later. The class with the largest credit of at least one is served next. The
+/// credit of a class therefore stays below H(K) + its share: this is the known bound for K counters
+/// that together grow by at most one per step and of which the largest is always the one reduced.
 ///
 /// Headroom: running requests are not preempted, so if slow requests of less urgent classes held
 /// all slots, an urgent request would have to wait for one of them to end. Less urgent classes
@@ -68,15 +78,17 @@
     std::optional<std::size_t> find_fallback_priority(std::string_view prefix) const;
 
     /// Sets the current service time of the upstream relative to its usual one. While the factor is
-    /// above 1, a request starts only if it is still expected to meet its latency target, or if it
-    /// would miss its deadline by waiting longer.
+    /// above 1, however little, a request starts only if it is still expected to meet its latency
+    /// target, or if it would miss its deadline by waiting longer.
     void set_slowdown(double factor) { slowdown_ = factor; }
 
     /// Admits, queues or refuses a request. Ids must be unique among all requests in the queue.
     offer_result offer(std::uint64_t id, std::size_t priority, time_point deadline, time_point now);
 
     /// The next request to start or to refuse. Call it until it returns nullopt, after each call of
-    /// another non-const member and whenever the time of next_expiry() has passed.
+    /// another non-const member and whenever the time of next_expiry() has passed. While requests
+    /// are queued and the slowdown is above 1, also call it at least every 40 ms: next_expiry()
+    /// does not tell when a request that was held back has to start because of its deadline.
     std::optional<queue_decision> next(time_point now);
 
     /// Ends a started request; false if no such request is running.
@@ -103,7 +115,7 @@
     /// Expected queueing time of a request that arrives now.
     milliseconds expected_wait(std::size_t priority, time_point now);
 
-    /// Current load; the instance id and the registration are left for the caller to set.
+    /// Current load; the caller has to set instance, upstream_registered and pace.
     load_report report() const;
 
 private:
@@ -122,6 +134,8 @@
     bool has_room(std::size_t priority, time_point now) const;
     bool is_worth_starting(const class_queue& queue, time_point now) const;
     std::uint32_t headroom(std::size_t priority, time_point now) const;
+    /// Removes a request that has to be refused now, if there is one: because of its deadline, an
+    /// overload or the removal of its class.
     std::optional<queue_decision> next_refusal(time_point now);
     double dispatches_per_ms(std::size_t priority, time_point now) const;
     void sort_by_urgency();
@@ -133,7 +147,7 @@
     std::vector<std::size_t> by_urgency_;
     std::unordered_map<std::uint64_t, std::size_t> queued_;
     std::unordered_map<std::uint64_t, running_request> running_;
-    /// Requests whose class was removed, to be returned by next() as refused.
+    /// To be returned by next() as refused.
     std::deque<queued_request> requests_of_removed_classes_;
     decaying_mean service_time_;
     double slowdown_ = 1.0;
--- a/include/chestnutstand/admission/class_queue.h
+++ b/include/chestnutstand/admission/class_queue.h
@@ -21,6 +21,7 @@
     time_point deadline;
 };
 
+/// A request that was removed from a class_queue in order to be refused.
 struct refused_request {
     queued_request request;
     reason_code reason = reason_code::none;
@@ -53,7 +54,8 @@
     /// the last pop(), take_refused() or requests_ahead() still count as in time.
     const queued_request& front() const;
     queued_request pop(time_point now);
-    /// Removes and returns a request that has to be refused now, if there is one.
+    /// Removes and returns a request that has to be refused now, if there is one: a request that
+    /// can no longer meet its deadline, or in an overload the oldest late request.
     std::optional<refused_request> take_refused(time_point now);
     /// Removes and returns any one request; used to empty the queue of a removed class.
     std::optional<queued_request> evict();
@@ -64,10 +66,15 @@
     std::size_t requests_ahead(time_point now);
     /// Longest queueing time after which a request is still expected to meet the latency target.
     milliseconds target_slack(time_point now) const;
-    /// True once the queue has been non-empty for longer than a burst that the capacity can absorb,
-    /// until it is empty and no request has been refused because of the overload for some time.
+    /// Updates the overloaded state and returns it. A call sets the state if the queue has then
+    /// been non-empty for two latency targets without a break, which is longer than a burst that
+    /// the capacity can absorb. A call resets it if the queue is then empty and the state was last
+    /// set or prolonged at least two latency targets ago. Time alone, without a call, changes
+    /// nothing, and a call on a non-empty queue never resets the state. admission_queue and
+    /// take_refused() only call it on a non-empty queue.
     bool update_overloaded(time_point now);
-    /// Records a refusal caused by the overload, which prolongs the overloaded state.
+    /// To be called for each request that is refused because of the overload: the state then
+    /// lasts at least two latency targets from now.
     void prolong_overload(time_point now) { last_overload_event_ = now; }
 
     decaying_mean& service_time() { return service_time_; }
@@ -107,6 +114,7 @@
     std::set<std::pair<time_point, std::uint64_t>> by_deadline_;
     std::optional<time_point> non_empty_since_;
     bool overloaded_ = false;
+    /// When the overloaded state was last set or prolonged.
     time_point last_overload_event_{};
     decaying_mean service_time_;
     decaying_rate arrivals_;
--- a/include/chestnutstand/admission/reported_load.h
+++ b/include/chestnutstand/admission/reported_load.h
@@ -18,8 +18,8 @@
     bool has_free_slot() const { return waiting == 0 && running < slots; }
 };
 
-/// Parses RUNNING,WAITING,SLOTS,PACE, where PACE is the relative service time in per cent; nullopt
-/// if the text has another form.
+/// Parses RUNNING,WAITING,SLOTS,PACE, where PACE is the slowdown in per cent; nullopt if the text
+/// has another form.
 std::optional<reported_load> parse_reported_load(std::string_view text);
 
 } // namespace chestnutstand
--- a/include/chestnutstand/admission/retry_delay.h
+++ b/include/chestnutstand/admission/retry_delay.h
@@ -6,12 +6,12 @@
 
 /// Delay after which a refused caller should retry. It is short enough for the retry to be served
 /// within the latency target, which counts from the first attempt, and long enough for the queues,
-/// which turn over several times within a target, to have changed. The position in [0, 1) spreads
-/// the retries of different callers.
+/// which turn over several times within a target, to have changed. The delay grows with the spread,
+/// a number in [0, 1), from a quarter to a half of the target; callers that get different values do
+/// not retry all at once, which would form a new burst.
 ///
-/// Load pattern: a burst that fills the queues for longer than a latency target. A later retry is
-/// as likely to be refused again and is served late if admitted. Callers that all retry at once
-/// would form a new burst.
+/// It is made for a burst that fills the queues for longer than a latency target. A retry after a
+/// longer delay is as likely to be refused again and is served late if admitted.
 inline milliseconds retry_delay(milliseconds latency_target, double spread)
 {
     constexpr double min_target_fraction = 0.25;
--- a/include/chestnutstand/admission/upstream_slowdown.h
+++ b/include/chestnutstand/admission/upstream_slowdown.h
@@ -8,10 +8,10 @@
 
 /// Tracks the current service time on the VM of an upstream relative to its usual service time.
 ///
-/// Load pattern: other VMs on the same hardware slow a VM down by a factor of several for some
-/// hundred milliseconds. A request that starts during such a phase takes several times as long
-/// until its end, even if the phase ends meanwhile, so the decision that matters is when to start
-/// it.
+/// It is made for the case that other VMs on the same hardware slow a VM down by a factor of
+/// several for some hundred milliseconds. A request that starts during such a phase takes several
+/// times as long until its end, even if the phase ends meanwhile, so the decision that matters is
+/// when to start it.
 ///
 /// The upstream reports a factor with its responses. It is divided by the lowest factor of the last
 /// few seconds, so that a VM that is permanently slow does not count as slowed down; its measured
@@ -21,13 +21,13 @@
     /// Records a reported factor; 1 is the usual service time.
     void observe(double factor, time_point now);
 
-    /// Last reported factor relative to the usual one; 1 if there is no recent report.
+    /// Last reported factor relative to the usual one; 1 if there was no report in the last second.
     double factor(time_point now) const;
 
     /// Whether a request that starts now would take much longer than usual.
     bool slow(time_point now) const;
 
-    /// Whether the last report is recent enough to still describe the present.
+    /// Whether the last report is less than 50 ms old, so that it still describes the present.
     bool has_fresh_report(time_point now) const;
 
     /// Whether the upstream was slow at its last report and that report is old enough to send a
--- a/include/chestnutstand/routing/balancing_policy.h
+++ b/include/chestnutstand/routing/balancing_policy.h
@@ -25,13 +25,17 @@
 
 /// Properties of the call to place and the time of the choice.
 struct selection_context {
-    /// Rank of the call's priority class, 0 for the most urgent.
+    /// priority_order::urgency_index() of the call's priority class, 0 for the most urgent.
     std::size_t urgency_index = 0;
     time_point now;
 };
 
-/// Which messages deliver the load reports that a policy uses.
-enum class report_source : std::uint8_t { none, replies, probes };
+/// Which load reports a policy uses; decides which ones upstream_selector obtains and stores.
+enum class report_source : std::uint8_t {
+    none,    ///< No probes are sent. Reports in replies are stored, but not needed.
+    replies, ///< Probes are sent. Reports in replies and in responses to probes are stored.
+    probes,  ///< Probes are sent. Only reports in their responses are stored.
+};
 
 /// Returns the index of one candidate; the list of candidates must not be empty. Not safe for
 /// concurrent use.
--- a/include/chestnutstand/routing/distance_table.h
+++ b/include/chestnutstand/routing/distance_table.h
@@ -46,8 +46,8 @@
     };
 
     static constexpr milliseconds minimum_lifetime{60'000};
-    /// The round trip between neighbouring data centres of the two deployments in section 1 of the
-    /// design takes 1 to 3 ms.
+    /// Assumed for another data centre before a measurement. The round trip between data centres
+    /// takes 1 to 3 ms in the two deployments of docs/design.md, section 1.
     static constexpr milliseconds default_round_trip{2};
 
     std::string local_data_centre_;
--- a/include/chestnutstand/routing/outlier_detector.h
+++ b/include/chestnutstand/routing/outlier_detector.h
@@ -51,6 +51,8 @@
 
     static double failure_ratio(const history& member);
     static bool is_readmitting(const history& member, time_point now);
+    /// Whether the member fails much more often than the others and may be ejected without more
+    /// than half of the members being ejected.
     bool should_eject(std::uint64_t instance, const history& member, time_point now) const;
     static void eject(history& member, time_point now, random_generator& random);
 
--- a/include/chestnutstand/routing/peer_load.h
+++ b/include/chestnutstand/routing/peer_load.h
@@ -12,7 +12,7 @@
 
 namespace chestnutstand {
 
-/// Load of a peer at one moment, as seen by calls of one priority rank.
+/// Load of a peer at one moment, as seen by calls of one urgency index.
 struct load_view {
     /// Calls sent from this node that have not ended.
     std::uint32_t own_in_flight = 0;
@@ -20,14 +20,14 @@
     std::uint32_t sent_since_report = 0;
     /// From the last report, like the next two; zero without one.
     std::uint32_t in_flight = 0;
-    /// Queued calls of the same or a more urgent priority rank.
+    /// Queued calls of the same or a lower urgency index, that is, of classes at least as urgent.
     std::uint32_t queued_ahead = 0;
     std::uint32_t limit = 0;
     /// Moving average of the latency of calls, including the network; zero while unknown.
     milliseconds latency{0};
     /// Response time of the upstream from the last report, excluding the network.
     milliseconds reported_latency{0};
-    /// From the last report: current duration of work as a multiple of its usual duration.
+    /// From the last report: the factor by which work takes longer now, 1 for the usual time.
     double slowdown = 1.0;
     /// Age of the last report; empty without one.
     std::optional<milliseconds> report_age;
@@ -50,8 +50,9 @@
 
     load_view read(std::size_t urgency_index, time_point now) const;
 
-    /// Time since the last report, or since calls of this node began to be in flight if that is
-    /// later; zero while none is.
+    /// Time without a load report while calls of this node have been in flight without a break: it
+    /// counts from the last report or from the start of the first of these calls, whichever was
+    /// later. Zero while no call is in flight. A reply without a load report does not reset it.
     milliseconds silence(time_point now) const;
 
     /// Moving average of the latency of calls, including the network; zero while unknown.
@@ -63,6 +64,7 @@
     /// Called when the peer responds again. Also discards the latency, which was measured before
     /// the failure and no longer describes the peer.
     void clear_avoidance();
+    /// Whether avoid_until() is in effect; regardless of an ejection by outlier_detector.
     bool is_avoided(time_point now) const;
 
 private:
@@ -73,7 +75,7 @@
     std::uint32_t sent_since_report_ = 0;
     std::uint16_t in_flight_ = 0;
     std::uint16_t limit_ = 0;
-    /// Queue lengths by priority rank.
+    /// Queue lengths by urgency index.
     std::array<std::uint16_t, urgency_index_count> queued_{};
     float latency_ms_ = 0.0F;
     float reported_latency_ms_ = 0.0F;
--- a/include/chestnutstand/routing/priority_order.h
+++ b/include/chestnutstand/routing/priority_order.h
@@ -11,7 +11,7 @@
 
 namespace chestnutstand {
 
-/// Number of priority ranks in the load of a peer; all less urgent classes share the last rank.
+/// Number of values of priority_order::urgency_index().
 inline constexpr std::size_t urgency_index_count = 8;
 
 /// Priority classes of a service from the most to the least urgent: ordered by configured rank,
@@ -37,7 +37,10 @@
         }
     }
 
-    /// Rank of a class, 0 for the most urgent; an unknown class ranks after all others.
+    /// Position of a class in this order, 0 for the most urgent. The highest index is
+    /// urgency_index_count - 1, which all classes from that position on share. An unknown class
+    /// comes after all others, and shares the highest index if there are at least as many classes
+    /// as indices.
     std::size_t urgency_index(std::string_view priority) const
     {
         const auto found = std::find(names_.begin(), names_.end(), priority);
--- a/include/chestnutstand/routing/retry_budget.h
+++ b/include/chestnutstand/routing/retry_budget.h
@@ -14,6 +14,7 @@
 /// of the calls to the service plus a fixed number.
 struct fleet_retry_limits {
     double ratio = 0.0;
+    /// Allowed in each window regardless of the number of calls; the setting is named slack.
     double fixed_retries = 0.0;
     milliseconds window{0};
 };
@@ -29,8 +30,11 @@
 };
 
 /// Share of one node of the limits, for nodes that do not know how many retries the others send.
-/// Half of the ratio is reserved for the calls that retried calls make in turn, and a quarter of
-/// the slack for nodes that are not counted yet.
+/// Half of the ratio is reserved for the calls that retried calls make in turn. Of the node's part
+/// of the fixed retries, half is refilled evenly over a window and a quarter is the capacity of the
+/// bucket, so that a window that begins with a full bucket permits three quarters. The last quarter
+/// is reserved for nodes that are not counted yet. retry_budget raises a capacity below one token
+/// to one.
 inline retry_share share_per_node(const fleet_retry_limits& limits, std::size_t nodes)
 {
     const double fixed_per_node =
@@ -99,11 +103,18 @@
 /// The part of a call tree's retry budget that one dispatched call holds.
 ///
 /// A call that arrives with budget b permits at most b + 1 attempts of itself and of each call
-/// below it. The first attempt carries b - 1 to its upstream; one attempt is kept for a retry or
-/// hedge, which carries 0. The upstream copies the value that it receives to each of its own calls.
-/// The attempts of one call share the b + 1 attempts of the call above, independent of the depth of
-/// the tree and of the number of calls that an upstream makes. An attempt that did not reach an
-/// upstream caused no calls below it, so its part is given back.
+/// below it, independent of the depth of the tree and of the number of calls that an upstream
+/// makes:
+/// - If b is 0, the call has a single attempt, which carries budget 0 to its upstream.
+/// - Otherwise, the first attempt carries b - 1, and one attempt, which carries 0, is kept for a
+///   retry or hedge.
+/// The upstream gives the budget that it receives to each of its own calls. For example, with b = 2
+/// the first attempt carries 1, so that each call that its upstream makes has up to two attempts.
+/// The retry carries 0, so that each call that its upstream makes has one. Together these are three
+/// attempts, b + 1, of each call below.
+///
+/// An attempt that did not reach an upstream caused no calls below it, so what it took is given
+/// back.
 class tree_budget {
 public:
     explicit tree_budget(std::uint32_t received) : attempts_{received + 1ULL} {}
--- a/include/chestnutstand/routing/service_peers.h
+++ b/include/chestnutstand/routing/service_peers.h
@@ -42,13 +42,15 @@
 
     std::shared_ptr<peer> find(std::uint64_t instance) const;
 
-    /// Whether the member should only get a call if no other can.
+    /// Whether the member should only get a call if no other can: its peer_load is avoided or
+    /// outlier_detector has ejected it.
     bool is_avoided_or_ejected(const peer& entry, time_point now) const;
 
     /// Members that may get a call now, except the excluded instances. A member whose share of
-    /// traffic is reduced is included at random with a probability of that share. When all members
-    /// are avoided, they are all returned: a call that may fail is better than one that is certain
-    /// to fail.
+    /// traffic is below the largest share among these members is included at random, with a
+    /// probability of its share divided by the largest one. When all members are avoided or
+    /// ejected, they are all returned: a call that may fail is better than one that is certain to
+    /// fail.
     peer_list eligible(const std::vector<std::uint64_t>& excluded, time_point now,
                        random_generator& random) const;
 
--- a/include/chestnutstand/routing/upstream_selector.h
+++ b/include/chestnutstand/routing/upstream_selector.h
@@ -44,11 +44,11 @@
     /// call that several queues have refused is only sent to members that are known to have spare
     /// capacity.
     ///
-    /// Load pattern: a burst or a loss of members fills all queues. Most other members then refuse
-    /// the call as well, and each refusal costs both nodes the time and the bytes of the call, so
-    /// that fewer calls are served. Calls of the most urgent class are sent to more members before
-    /// this limit applies, because they are a small part of such a load and their refusals cost
-    /// most.
+    /// This limit is for a burst or a loss of members that fills all queues. Most other members
+    /// then refuse the call as well, and each refusal costs both nodes the time and the bytes of
+    /// the call, so that fewer calls are served. Calls of the most urgent class are sent to more
+    /// members before this limit applies, because they are a small part of such a load and their
+    /// refusals cost most.
     std::shared_ptr<peer> choose(const std::string& service, std::string_view priority,
                                  const std::vector<std::uint64_t>& excluded,
                                  std::size_t queue_refusals = 0);
@@ -57,7 +57,8 @@
     /// new entry that belongs to no service.
     std::shared_ptr<peer> find(const std::string& service, const node_reference& node);
 
-    /// Sorts the nodes by expected cost, lowest first. Avoided and unknown nodes come last.
+    /// Sorts the nodes by expected cost, lowest first. Avoided, ejected and unknown nodes come
+    /// last.
     std::vector<node_reference> sort_by_cost(const std::string& service, std::string_view priority,
                                              std::vector<node_reference> nodes);
 
@@ -65,7 +66,8 @@
     std::vector<node_reference> choose_distinct(const std::string& service,
                                                 std::string_view priority, std::size_t count);
 
-    /// Replaces the limits shared by all nodes.
+    /// Replaces the limits shared by all nodes. Discards the retry budgets of all services, which
+    /// start again with retry_budget::initial_tokens.
     void set_retry_limits(const std::optional<fleet_retry_limits>& limits);
 
     /// Records the result of a call that was counted with peer_load::begin_call.
@@ -79,12 +81,14 @@
     /// 95th percentile of the recent latencies of the class; empty while there are too few samples.
     std::optional<milliseconds> hedge_delay(const std::string& service, std::string_view priority);
 
-    /// Returns a member to probe now: one that does not respond, or else one whose report is stale;
-    /// null when there is none. The caller must end the probe with record_probe.
+    /// Returns a member to probe now; null when there is none, the policy uses no reports or the
+    /// rate limit is reached. It is any member that does not respond, or else a single member
+    /// picked at random, if the report of that one is stale. The caller must end the probe with
+    /// record_probe.
     ///
-    /// Load pattern: a node is frozen, disconnected or starved of processor time. Without probes,
-    /// each other node would have as many calls waiting there until their deadlines as the upstream
-    /// has slots.
+    /// Probes are for a node that is frozen, disconnected or starved of processor time. Without
+    /// them, each other node would have as many calls waiting there until their deadlines as the
+    /// upstream has slots.
     std::shared_ptr<peer> take_probe_target(const std::string& service);
 
     /// Records the result of a probe; the report is empty when the probe failed.
@@ -106,6 +110,8 @@
 
     service_state* find_service(const std::string& service);
     std::shared_ptr<peer> unresponsive_member(const service_state& state, time_point now) const;
+    /// Picks one member at random and returns it if its report is stale and it can be probed; null
+    /// otherwise, even if another member has a stale report.
     std::shared_ptr<peer> random_member_if_stale(const service_state& state, time_point now);
     void configure(service_state& state, const service_config& config) const;
     std::shared_ptr<peer> choose_member(service_state& state, std::string_view priority,
--- a/lib/admission/admission_queue.cpp
+++ b/lib/admission/admission_queue.cpp
@@ -12,13 +12,15 @@
 constexpr double service_time_samples = 32.0;
 constexpr milliseconds service_time_half_life{500};
 constexpr double min_service_time_ms = 0.01;
-// The other half of the slack allows for the variation of the estimate and of the service time.
+// The other half of class_queue::target_slack() allows for the variation of the estimate and of the
+// service time.
 constexpr double overloaded_wait_slack_fraction = 0.5;
 // Less than 1, so that rounding errors in the sum of shares do not delay an earned dispatch.
 constexpr double earned_dispatch_credit = 1.0 - 1e-9;
 // A class without requests for this long is not expected to send one soon and gets no headroom.
 constexpr milliseconds recent_demand_window{10'000};
-// Covers the interval between two calls of next().
+// A request that was held back starts only in a call of next(), and nothing causes one when its
+// deadline comes near. The caller must therefore call next() at least this often.
 constexpr milliseconds deadline_start_margin{40};
 // A slot is not kept idle to avoid a wait of at most a tenth of the latency target.
 constexpr double negligible_wait_target_fraction = 0.1;
@@ -103,8 +105,9 @@
         queue.refused_while_empty = queue.empty();
         return reason_code::deadline_unmeetable;
     }
-    // An empty queue accepts one request regardless of the estimate, so that the class stays
-    // backlogged and receives its guaranteed share.
+    // A request that met the check of its deadline above is not refused because of an overload
+    // while the queue is empty, so that the class keeps a queued request and receives its
+    // guaranteed share.
     if (!queue.empty() && queue.update_overloaded(now) &&
         wait > queue.target_slack(now) * overloaded_wait_slack_fraction) {
         queue.prolong_overload(now);
@@ -203,8 +206,10 @@
     return in_flight() + headroom(priority, now) < limit_.value();
 }
 
-/// A request that starts while the upstream is slow takes several times as long until its end, so
-/// waiting for the slow phase to end is faster if the deadline permits it.
+/// Whether the first request of the queue should start if a slot is free. At any slowdown above 1,
+/// it should only if it is still expected to meet its latency target or would miss its deadline by
+/// waiting. The slowdown of a request lasts until its end, even if that of the upstream ends
+/// meanwhile, so that waiting for the latter is usually faster.
 bool admission_queue::is_worth_starting(const class_queue& queue, time_point now) const
 {
     if (slowdown_ <= 1.0) {
@@ -217,6 +222,11 @@
     return in_time || deadline_near;
 }
 
+/// Number of slots that requests of a class leave free for those of more urgent classes. The more
+/// urgent classes together need as many slots as they are expected to use at once; those that they
+/// already occupy are subtracted. A more urgent class is counted if it queued a request within
+/// recent_demand_window and if, with all slots used by the given class, the expected time until
+/// one becomes free is longer than a wait that is negligible to the more urgent class.
 std::uint32_t admission_queue::headroom(std::size_t priority, time_point now) const
 {
     const auto& queue = classes_[priority];
@@ -226,7 +236,6 @@
     double expected = 0.0;
     std::uint32_t running = 0;
     bool has_recent_demand = false;
-    // Counts the more urgent classes for which waiting for a slot of this class would matter.
     for (const auto more_urgent : by_urgency_) {
         if (more_urgent == priority) {
             break;
@@ -302,6 +311,7 @@
     const auto service_ms = [now](const class_queue& measured) {
         return measured.service_time().blended_mean(measured.config().latency_target.count(), now);
     };
+    // Slots that this class leaves free for more urgent ones do not shorten its wait.
     const std::uint32_t reserved_slots = headroom(priority, now);
     double work_ahead_ms = static_cast<double>(ahead_in_class + 1) * service_ms(queue);
     double slots_left = static_cast<double>(limit_.value()) - reserved_slots;
@@ -326,9 +336,10 @@
     if (first_in_line && in_flight() + reserved_slots < limit_.value()) {
         return milliseconds{0};
     }
-    // The class receives its guaranteed share regardless of the load of the other classes.
     const double wait_for_free_slot_ms =
         slots_left > 0.0 ? work_ahead_ms / slots_left : std::numeric_limits<double>::infinity();
+    // The class receives its guaranteed share regardless of the load of the other classes, so it
+    // waits at most until the share has earned the dispatches that this request needs.
     const double dispatches_to_earn =
         std::max(0.0, static_cast<double>(ahead_in_class + 1) - queue.credit);
     const double guaranteed_per_ms = total_per_ms * queue.guaranteed_share();
--- a/lib/admission/upstream_slowdown.cpp
+++ b/lib/admission/upstream_slowdown.cpp
@@ -7,11 +7,12 @@
 
 /// Below this factor, moving a call to another member costs more than it saves.
 constexpr double slow_factor = 1.5;
-/// An older report is no longer used.
+/// factor() no longer uses an older report.
 constexpr milliseconds max_report_age{1'000};
 /// Age from which a report of a slow upstream is refreshed with a probe.
 constexpr milliseconds refresh_after{60};
-/// Slow phases last some hundred milliseconds, so one rarely begins within this time.
+/// A younger report is fresh: slow phases last some hundred milliseconds, so one rarely begins
+/// within this time.
 constexpr milliseconds fresh_report_age{50};
 /// The usual factor is the lowest one of the current and the previous period of this length.
 constexpr milliseconds baseline_period{2'000};
--- a/lib/routing/balancing_policy.cpp
+++ b/lib/routing/balancing_policy.cpp
@@ -20,8 +20,9 @@
 /// queue above it.
 constexpr double spare_capacity_below = 0.8;
 
-/// A peer whose VM has at least this slowdown counts as slow while its report is recent. Other VMs
-/// on the same hardware slow it down for a few hundred milliseconds at a time.
+/// A peer whose last report shows at least this slowdown counts as slow until the report is older
+/// than slowdown_max_age. Other VMs on the same hardware slow a VM down for a few hundred
+/// milliseconds at a time.
 constexpr double slow_peer_slowdown = 1.5;
 constexpr milliseconds slowdown_max_age{150};
 
--- a/lib/routing/upstream_selector.cpp
+++ b/lib/routing/upstream_selector.cpp
@@ -68,8 +68,9 @@
     return result.outcome == call_outcome::completed && result.response.status < 500;
 }
 
-/// Whether the result counts as a failure of the member in outlier detection. Refusals by its
-/// admission queue do not, because the queue length in its report already reduces its traffic.
+/// Whether the result counts as a failure of the member in outlier detection. A refusal by its
+/// admission queue does so only if the node is draining. Others do not, because the queue length in
+/// its report already reduces its traffic.
 bool is_member_failure(const call_result& result)
 {
     switch (result.outcome) {
@@ -307,7 +308,7 @@
     const std::lock_guard lock{mutex_};
     retry_limits_ = limits;
     for (auto& [name, state] : services_) {
-        // Makes find_service recompute the share of this node.
+        // Makes find_service create a new retry budget and recompute the share of this node.
         state.routes.reset();
         state.retries.reset();
         state.configuration.reset();
