--- a/include/chestnutstand/routing/peer_load.h
+++ b/include/chestnutstand/routing/peer_load.h
@@ -52,7 +52,7 @@
 
     /// Time without a load report while calls of this node have been in flight without a break: it
     /// counts from the last report or from the start of the first of these calls, whichever was
-    /// later. Zero while no call is in flight. A reply without a load report does not reset it.
+    /// later. Zero while no call is in flight. Only record_report() resets it, not every reply.
     milliseconds silence(time_point now) const;
 
     /// Moving average of the latency of calls, including the network; zero while unknown.
--- a/unittests/replay/replay_model.cpp
+++ b/unittests/replay/replay_model.cpp
@@ -191,9 +191,9 @@
     request->waited += waited;
     if (result.outcome == call_outcome::not_run &&
         request->caller_retries < settings_.max_caller_retries) {
-        std::uniform_real_distribution<double> position{0.0, 1.0};
+        std::uniform_real_distribution<double> spread{0.0, 1.0};
         milliseconds pause = options_.retry_within_target
-                                 ? retry_delay(request_kind.target, position(random_))
+                                 ? retry_delay(request_kind.target, spread(random_))
                                  : fixed_retry_delay;
         pause = settings_.retry_at_once ? milliseconds{1} : pause;
         ++request->caller_retries;
