--- a/lib/admission/upstream_slowdown.cpp
+++ b/lib/admission/upstream_slowdown.cpp
@@ -11,8 +11,8 @@
 constexpr milliseconds max_report_age{1'000};
 /// Age from which a report of a slow upstream is refreshed with a probe.
 constexpr milliseconds refresh_after{60};
-/// A younger report is fresh: slow phases last some hundred milliseconds, so one rarely begins
-/// within this time.
+/// A younger report is has_recent_report: slow phases last some hundred milliseconds, so one rarely
+/// begins within this time.
 constexpr milliseconds fresh_report_age{50};
 /// The usual factor is the lowest one of the current and the previous period of this length.
 constexpr milliseconds baseline_period{2'000};
