--- a/lib/routing/balancing_policy.cpp
+++ b/lib/routing/balancing_policy.cpp
@@ -20,8 +20,9 @@
 /// queue above it.
 constexpr double spare_capacity_below = 0.8;
 
-/// A peer whose VM has at least this pace counts as slow while its report is recent. Other VMs on
-/// the same hardware slow it down for a few hundred milliseconds at a time.
+/// A peer whose last report shows at least this slowdown counts as slow until the report is older
+/// than slowdown_max_age. Other VMs on the same hardware slow a VM down for a few hundred
+/// milliseconds at a time.
 constexpr double slow_peer_slowdown = 1.5;
 constexpr milliseconds slowdown_max_age{150};
 
@@ -73,7 +74,7 @@
         std::size_t ties = 0;
         for (std::size_t i = 0; i < candidates.size(); ++i) {
             const std::uint32_t in_flight =
-                candidates[i].load->read(context.rank, context.now).own_in_flight;
+                candidates[i].load->read(context.urgency_index, context.now).own_in_flight;
             if (in_flight > lowest) {
                 continue;
             }
@@ -126,7 +127,7 @@
 
 bool is_slow(const load_view& view)
 {
-    return view.pace >= slow_peer_slowdown && view.report_age &&
+    return view.slowdown >= slow_peer_slowdown && view.report_age &&
            *view.report_age <= slowdown_max_age;
 }
 
@@ -145,7 +146,7 @@
     std::vector<bool> available(candidates.size());
     milliseconds nearest = milliseconds::max();
     for (std::size_t i = 0; i < candidates.size(); ++i) {
-        const load_view view = candidates[i].load->read(context.rank, context.now);
+        const load_view view = candidates[i].load->read(context.urgency_index, context.now);
         available[i] = has_spare_capacity(view);
         if (available[i]) {
             nearest = std::min(nearest, candidates[i].distance);
@@ -189,7 +190,7 @@
                        random_generator& random) const
     {
         return cheaper_of_two(candidates, random, [&](const candidate& peer) {
-            const load_view view = peer.load->read(context.rank, context.now);
+            const load_view view = peer.load->read(context.urgency_index, context.now);
             return queueing_cost(static_cast<double>(view.in_flight) + view.queued_ahead, view,
                                  peer.distance);
         });
@@ -212,9 +213,9 @@
 
 double expected_cost(const candidate& peer, const selection_context& context)
 {
-    const load_view view = peer.load->read(context.rank, context.now);
-    const double pace = is_slow(view) ? view.pace : 1.0;
-    return queueing_cost(estimated_load(view), view, peer.distance) * pace;
+    const load_view view = peer.load->read(context.urgency_index, context.now);
+    const double slowdown = is_slow(view) ? view.slowdown : 1.0;
+    return queueing_cost(estimated_load(view), view, peer.distance) * slowdown;
 }
 
 } // namespace chestnutstand
