--- a/include/chestnutstand/node/executor.h
+++ b/include/chestnutstand/node/executor.h
@@ -147,7 +147,7 @@
     void probe_stale_pace(time_point now);
     /// Whether a call should wait for a pace probe. Takes a token of the probe budget if that
     /// starts a new probe.
-    bool should_wait_for_pace(const service_call& call, time_point now);
+    bool should_wait_for_slowdown(const service_call& call, time_point now);
     /// Path at which the upstream reports its load; empty when none is configured.
     std::string health_path() const;
     void probe_pace(const std::string& base_url, const std::string& path);
--- a/lib/node/executor_pace.cpp
+++ b/lib/node/executor_pace.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-bool executor::should_wait_for_pace(const service_call& call, time_point now)
+bool executor::should_wait_for_slowdown(const service_call& call, time_point now)
 {
     if (call.repeat == repeatability::by_class || names_.upstream_load.empty() ||
         health_path().empty() || pace_.has_recent_report(now) || now < pace_probes_paused_until_) {
@@ -39,7 +39,7 @@
 {
     std::unique_lock lock{mutex_};
     apply_configuration(now);
-    if (!should_wait_for_pace(call, now)) {
+    if (!should_wait_for_slowdown(call, now)) {
         lock.unlock();
         offer_to_queue(target_instance, std::move(call), key, done, now);
         return;
