--- a/lib/node/executor.cpp
+++ b/lib/node/executor.cpp
@@ -497,7 +497,7 @@
 bool executor::idle() const
 {
     const std::lock_guard lock{mutex_};
-    return executions_.empty() && waiting_for_pace_.empty();
+    return executions_.empty() && waiting_for_slowdown_.empty();
 }
 
 } // namespace chestnutstand
--- a/lib/node/executor_pace.cpp
+++ b/lib/node/executor_pace.cpp
@@ -44,7 +44,7 @@
         offer_to_queue(target_instance, std::move(call), key, done, now);
         return;
     }
-    waiting_for_pace_.push_back({target_instance, std::move(call), done});
+    waiting_for_slowdown_.push_back({target_instance, std::move(call), done});
     if (std::exchange(pace_probe_running_, true)) {
         return;
     }
@@ -64,7 +64,7 @@
                      {
                          const std::lock_guard lock{mutex_};
                          pace_probe_running_ = false;
-                         waiting_calls.swap(waiting_for_pace_);
+                         waiting_calls.swap(waiting_for_slowdown_);
                          if (!pace_.has_recent_report(now)) {
                              pace_probes_paused_until_ = now + pace_probe_backoff;
                          }
