--- a/include/chestnutstand/node/executor.h
+++ b/include/chestnutstand/node/executor.h
@@ -142,7 +142,7 @@
     void log_execution(const call_execution& execution, const call_result& result,
                        time_point now) const;
     static void log_refusal(const refused_call& refused);
-    void observe_pace(const http_result& result, time_point now);
+    void observe_slowdown(const http_result& result, time_point now);
     /// Probes a slow upstream whose last pace report is old.
     void probe_stale_pace(time_point now);
     /// Whether a call should wait for a pace probe. Takes a token of the probe budget if that
--- a/lib/node/executor.cpp
+++ b/lib/node/executor.cpp
@@ -421,7 +421,7 @@
 {
     const auto now = ms_clock::now();
     const auto sample = make_sample(upstream_result, names_);
-    observe_pace(upstream_result, now);
+    observe_slowdown(upstream_result, now);
     call_result result =
         classify_upstream_response(execution->call, std::move(upstream_result), names_);
     deferred_actions deferred;
--- a/lib/node/executor_pace.cpp
+++ b/lib/node/executor_pace.cpp
@@ -59,7 +59,7 @@
     client_.send(base_url, {"GET", path, {}, ""}, pace_probe_timeout,
                  [this](const http_result& result) {
                      const auto now = ms_clock::now();
-                     observe_pace(result, now);
+                     observe_slowdown(result, now);
                      std::vector<waiting_call> waiting_calls;
                      {
                          const std::lock_guard lock{mutex_};
@@ -85,7 +85,7 @@
     }
 }
 
-void executor::observe_pace(const http_result& result, time_point now)
+void executor::observe_slowdown(const http_result& result, time_point now)
 {
     const auto reported = find_header(result.response.headers, names_.upstream_load);
     if (!reported) {
