--- a/include/chestnutstand/node/executor.h
+++ b/include/chestnutstand/node/executor.h
@@ -150,7 +150,7 @@
     bool should_wait_for_slowdown(const service_call& call, time_point now);
     /// Path at which the upstream reports its load; empty when none is configured.
     std::string health_path() const;
-    void probe_pace(const std::string& base_url, const std::string& path);
+    void probe_slowdown(const std::string& base_url, const std::string& path);
     void offer_to_queue(std::uint64_t target_instance, service_call call,
                         const std::optional<key_id>& key, const call_done& done, time_point now);
     void update_queue_pace(time_point now);
--- a/lib/node/executor_pace.cpp
+++ b/lib/node/executor_pace.cpp
@@ -51,10 +51,10 @@
     const std::string url = upstream_->base_url;
     const std::string path = health_path();
     lock.unlock();
-    probe_pace(url, path);
+    probe_slowdown(url, path);
 }
 
-void executor::probe_pace(const std::string& base_url, const std::string& path)
+void executor::probe_slowdown(const std::string& base_url, const std::string& path)
 {
     client_.send(base_url, {"GET", path, {}, ""}, pace_probe_timeout,
                  [this](const http_result& result) {
@@ -116,7 +116,7 @@
         pace_probe_running_ = true;
         url = upstream_->base_url;
     }
-    probe_pace(url, path);
+    probe_slowdown(url, path);
 }
 
 } // namespace chestnutstand
