--- a/include/chestnutstand/node/executor.h
+++ b/include/chestnutstand/node/executor.h
@@ -144,7 +144,7 @@
     static void log_refusal(const refused_call& refused);
     void observe_slowdown(const http_result& result, time_point now);
     /// Probes a slow upstream whose last pace report is old.
-    void probe_stale_pace(time_point now);
+    void probe_stale_slowdown(time_point now);
     /// Whether a call should wait for a pace probe. Takes a token of the probe budget if that
     /// starts a new probe.
     bool should_wait_for_slowdown(const service_call& call, time_point now);
--- a/lib/node/executor.cpp
+++ b/lib/node/executor.cpp
@@ -468,7 +468,7 @@
     run_deferred(std::move(deferred));
     if (probe_url) {
         prober_.poll(*probe_url, now);
-        probe_stale_pace(now);
+        probe_stale_slowdown(now);
     }
 }
 
--- a/lib/node/executor_pace.cpp
+++ b/lib/node/executor_pace.cpp
@@ -103,7 +103,7 @@
 }
 
 // Otherwise a slow upstream that gets no calls would not report that it is back to its usual pace.
-void executor::probe_stale_pace(time_point now)
+void executor::probe_stale_slowdown(time_point now)
 {
     std::string url;
     std::string path;
