--- a/include/chestnutstand/node/executor.h
+++ b/include/chestnutstand/node/executor.h
@@ -153,7 +153,7 @@
     void probe_slowdown(const std::string& base_url, const std::string& path);
     void offer_to_queue(std::uint64_t target_instance, service_call call,
                         const std::optional<key_id>& key, const call_done& done, time_point now);
-    void update_queue_pace(time_point now);
+    void update_queue_slowdown(time_point now);
 
     const std::uint64_t instance_;
     http_client& client_;
--- a/lib/node/executor.cpp
+++ b/lib/node/executor.cpp
@@ -459,7 +459,7 @@
     {
         const std::lock_guard lock{mutex_};
         apply_configuration(now);
-        update_queue_pace(now);
+        update_queue_slowdown(now);
         apply_queue_decisions(now, deferred);
         if (upstream_ && !draining_) {
             probe_url = upstream_->base_url;
--- a/lib/node/executor_pace.cpp
+++ b/lib/node/executor_pace.cpp
@@ -78,7 +78,7 @@
 }
 
 // Passes the pace to the queue, which holds calls back while the upstream is slow.
-void executor::update_queue_pace(time_point now)
+void executor::update_queue_slowdown(time_point now)
 {
     if (queue_) {
         queue_->set_slowdown(pace_.slow(now) ? pace_.factor(now) : 1.0);
@@ -99,7 +99,7 @@
     }
     const std::lock_guard lock{mutex_};
     pace_.observe(load->pace, now);
-    update_queue_pace(now);
+    update_queue_slowdown(now);
 }
 
 // Otherwise a slow upstream that gets no calls would not report that it is back to its usual pace.
