--- a/include/chestnutstand/node/executor.h
+++ b/include/chestnutstand/node/executor.h
@@ -172,7 +172,7 @@
     std::uint64_t last_id_ = 0;
     attempt_ledger attempts_;
     upstream_slowdown pace_;
-    bool pace_probe_running_ = false;
+    bool slowdown_probe_running_ = false;
     /// Calls that wait for the running pace probe.
     std::vector<waiting_call> waiting_for_slowdown_;
     token_bucket pace_probe_budget_;
--- a/lib/node/executor_pace.cpp
+++ b/lib/node/executor_pace.cpp
@@ -22,7 +22,7 @@
         health_path().empty() || pace_.has_recent_report(now) || now < pace_probes_paused_until_) {
         return false;
     }
-    return pace_probe_running_ || pace_probe_budget_.try_take(now);
+    return slowdown_probe_running_ || pace_probe_budget_.try_take(now);
 }
 
 std::string executor::health_path() const
@@ -45,7 +45,7 @@
         return;
     }
     waiting_for_slowdown_.push_back({target_instance, std::move(call), done});
-    if (std::exchange(pace_probe_running_, true)) {
+    if (std::exchange(slowdown_probe_running_, true)) {
         return;
     }
     const std::string url = upstream_->base_url;
@@ -63,7 +63,7 @@
                      std::vector<waiting_call> waiting_calls;
                      {
                          const std::lock_guard lock{mutex_};
-                         pace_probe_running_ = false;
+                         slowdown_probe_running_ = false;
                          waiting_calls.swap(waiting_for_slowdown_);
                          if (!pace_.has_recent_report(now)) {
                              pace_probes_paused_until_ = now + pace_probe_backoff;
@@ -110,10 +110,10 @@
     {
         const std::lock_guard lock{mutex_};
         path = health_path();
-        if (pace_probe_running_ || path.empty() || !pace_.needs_refresh(now)) {
+        if (slowdown_probe_running_ || path.empty() || !pace_.needs_refresh(now)) {
             return;
         }
-        pace_probe_running_ = true;
+        slowdown_probe_running_ = true;
         url = upstream_->base_url;
     }
     probe_slowdown(url, path);
