--- a/include/chestnutstand/node/executor.h
+++ b/include/chestnutstand/node/executor.h
@@ -175,7 +175,7 @@
     bool slowdown_probe_running_ = false;
     /// Calls that wait for the running pace probe.
     std::vector<waiting_call> waiting_for_slowdown_;
-    token_bucket pace_probe_budget_;
+    token_bucket slowdown_probe_budget_;
     time_point pace_probes_paused_until_;
     bool draining_ = false;
 };
--- a/lib/node/executor.cpp
+++ b/lib/node/executor.cpp
@@ -74,8 +74,8 @@
     : instance_{instance}, client_{client}, stats_{stats}, keys_{keys},
       configuration_{std::move(configuration)}, names_{std::move(names)}, prober_{client, 0.0,
                                                                                   ms_clock::now()},
-      pace_probe_budget_{pace_probes_per_s, pace_probe_burst,
-                         ms_clock::now() - pace_probe_prefill_time}
+      slowdown_probe_budget_{pace_probes_per_s, pace_probe_burst,
+                             ms_clock::now() - pace_probe_prefill_time}
 {
 }
 
--- a/lib/node/executor_pace.cpp
+++ b/lib/node/executor_pace.cpp
@@ -22,7 +22,7 @@
         health_path().empty() || pace_.has_recent_report(now) || now < pace_probes_paused_until_) {
         return false;
     }
-    return slowdown_probe_running_ || pace_probe_budget_.try_take(now);
+    return slowdown_probe_running_ || slowdown_probe_budget_.try_take(now);
 }
 
 std::string executor::health_path() const
