--- a/include/chestnutstand/node/executor.h
+++ b/include/chestnutstand/node/executor.h
@@ -176,7 +176,7 @@
     /// Calls that wait for the running pace probe.
     std::vector<waiting_call> waiting_for_slowdown_;
     token_bucket slowdown_probe_budget_;
-    time_point pace_probes_paused_until_;
+    time_point slowdown_probes_paused_until_;
     bool draining_ = false;
 };
 
--- a/lib/node/executor_pace.cpp
+++ b/lib/node/executor_pace.cpp
@@ -19,7 +19,8 @@
 bool executor::should_wait_for_slowdown(const service_call& call, time_point now)
 {
     if (call.repeat == repeatability::by_class || names_.upstream_load.empty() ||
-        health_path().empty() || pace_.has_recent_report(now) || now < pace_probes_paused_until_) {
+        health_path().empty() || pace_.has_recent_report(now) ||
+        now < slowdown_probes_paused_until_) {
         return false;
     }
     return slowdown_probe_running_ || slowdown_probe_budget_.try_take(now);
@@ -66,7 +67,7 @@
                          slowdown_probe_running_ = false;
                          waiting_calls.swap(waiting_for_slowdown_);
                          if (!pace_.has_recent_report(now)) {
-                             pace_probes_paused_until_ = now + pace_probe_backoff;
+                             slowdown_probes_paused_until_ = now + pace_probe_backoff;
                          }
                      }
                      for (auto& waiting : waiting_calls) {
