--- a/lib/node/executor.cpp
+++ b/lib/node/executor.cpp
@@ -14,7 +14,7 @@
 
 /// A quarter of the rate that the platforms allow, so that probes add no noticeable load.
 constexpr double slowdown_probes_per_s = 15.0;
-constexpr double pace_probe_burst = 5.0;
+constexpr double slowdown_probe_burst = 5.0;
 /// Age of the token bucket at construction: it starts full, because the pace of the upstream is
 /// still unknown then.
 constexpr milliseconds pace_probe_prefill_time{1'000};
@@ -74,7 +74,7 @@
     : instance_{instance}, client_{client}, stats_{stats}, keys_{keys},
       configuration_{std::move(configuration)}, names_{std::move(names)}, prober_{client, 0.0,
                                                                                   ms_clock::now()},
-      slowdown_probe_budget_{slowdown_probes_per_s, pace_probe_burst,
+      slowdown_probe_budget_{slowdown_probes_per_s, slowdown_probe_burst,
                              ms_clock::now() - pace_probe_prefill_time}
 {
 }
