--- a/lib/node/executor.cpp
+++ b/lib/node/executor.cpp
@@ -17,7 +17,7 @@
 constexpr double slowdown_probe_burst = 5.0;
 /// Age of the token bucket at construction: it starts full, because the pace of the upstream is
 /// still unknown then.
-constexpr milliseconds pace_probe_prefill_time{1'000};
+constexpr milliseconds slowdown_probe_prefill_time{1'000};
 constexpr int status_too_many_requests = 429;
 constexpr int status_server_error = 500;
 constexpr int status_service_unavailable = 503;
@@ -75,7 +75,7 @@
       configuration_{std::move(configuration)}, names_{std::move(names)}, prober_{client, 0.0,
                                                                                   ms_clock::now()},
       slowdown_probe_budget_{slowdown_probes_per_s, slowdown_probe_burst,
-                             ms_clock::now() - pace_probe_prefill_time}
+                             ms_clock::now() - slowdown_probe_prefill_time}
 {
 }
 
