--- a/lib/node/executor_pace.cpp
+++ b/lib/node/executor_pace.cpp
@@ -11,7 +11,7 @@
 
 /// A healthy upstream responds to a pace probe immediately; after a probe without a pace report, no
 /// call waits for another one during the backoff.
-constexpr milliseconds pace_probe_timeout{50};
+constexpr milliseconds slowdown_probe_timeout{50};
 constexpr milliseconds pace_probe_backoff{1'000};
 
 } // namespace
@@ -57,7 +57,7 @@
 
 void executor::probe_slowdown(const std::string& base_url, const std::string& path)
 {
-    client_.send(base_url, {"GET", path, {}, ""}, pace_probe_timeout,
+    client_.send(base_url, {"GET", path, {}, ""}, slowdown_probe_timeout,
                  [this](const http_result& result) {
                      const auto now = ms_clock::now();
                      observe_slowdown(result, now);
