--- a/lib/node/executor_pace.cpp
+++ b/lib/node/executor_pace.cpp
@@ -12,7 +12,7 @@
 /// A healthy upstream responds to a pace probe immediately; after a probe without a pace report, no
 /// call waits for another one during the backoff.
 constexpr milliseconds slowdown_probe_timeout{50};
-constexpr milliseconds pace_probe_backoff{1'000};
+constexpr milliseconds slowdown_probe_backoff{1'000};
 
 } // namespace
 
@@ -67,7 +67,7 @@
                          slowdown_probe_running_ = false;
                          waiting_calls.swap(waiting_for_slowdown_);
                          if (!pace_.has_recent_report(now)) {
-                             slowdown_probes_paused_until_ = now + pace_probe_backoff;
+                             slowdown_probes_paused_until_ = now + slowdown_probe_backoff;
                          }
                      }
                      for (auto& waiting : waiting_calls) {
