--- a/unittests/node/executor_test.cpp
+++ b/unittests/node/executor_test.cpp
@@ -412,7 +412,7 @@
 }
 
 // Guards against calls that wait for an upstream that does not respond on its health path.
-TEST_F(executor_with_health_path, does_not_wait_again_after_a_failed_pace_probe)
+TEST_F(executor_with_health_path, does_not_wait_again_after_a_failed_slowdown_probe)
 {
     execute_movable(true);
     ASSERT_TRUE(is_last_request_a_probe());
