--- a/include/chestnutstand/node/kernel.h
+++ b/include/chestnutstand/node/kernel.h
@@ -92,7 +92,7 @@
     bool draining() const { return draining_; }
     /// Whether the upstream reports its own departure. If so, a node that is restarted continues to
     /// send calls to the upstream during the lame-duck period.
-    bool upstream_outlives_drain() const
+    bool upstream_reports_departure() const
     {
         return settings_.interface_for_callers == caller_interface::routes;
     }
--- a/lib/node/components/executor_component.cpp
+++ b/lib/node/components/executor_component.cpp
@@ -57,7 +57,7 @@
 
     void begin_drain(kernel& node) override
     {
-        if (!node.upstream_outlives_drain()) {
+        if (!node.upstream_reports_departure()) {
             executor_->begin_drain();
         }
     }
--- a/lib/node/components/membership_component.cpp
+++ b/lib/node/components/membership_component.cpp
@@ -51,7 +51,7 @@
 
     void begin_drain(kernel& node) override
     {
-        if (!node.upstream_outlives_drain()) {
+        if (!node.upstream_reports_departure()) {
             end_lame_duck(node);
         }
     }
