--- a/include/chestnutstand/node/upstream_registry.h
+++ b/include/chestnutstand/node/upstream_registry.h
@@ -51,7 +51,7 @@
     /// from an earlier process of this node, and a delayed heartbeat of it may arrive afterwards.
     /// Such a process is admitted only when it is confirmed or has sent several ready heartbeats in
     /// a row.
-    void verify_born_before(std::uint64_t unix_ms, verifier verify);
+    void verify_processes_born_before(std::uint64_t unix_ms, verifier verify);
 
     /// Admits the process, which has responded that it is healthy and not about to leave. No effect
     /// unless it is the newest known process and has not left.
--- a/lib/node/components/executor_component.cpp
+++ b/lib/node/components/executor_component.cpp
@@ -43,7 +43,7 @@
                                                 upstream ? upstream->slots : 0);
                 }
             });
-        registry_->verify_born_before(
+        registry_->verify_processes_born_before(
             unix_now_ms(), [this, &node](const local_upstream& upstream, std::uint64_t born_ms) {
                 verify_upstream(node, upstream, born_ms);
             });
--- a/lib/node/upstream_registry.cpp
+++ b/lib/node/upstream_registry.cpp
@@ -36,7 +36,7 @@
     });
 }
 
-void upstream_registry::verify_born_before(std::uint64_t unix_ms, verifier verify)
+void upstream_registry::verify_processes_born_before(std::uint64_t unix_ms, verifier verify)
 {
     verify_before_ms_ = unix_ms;
     verify_ = std::move(verify);
--- a/unittests/node/upstream_registry_test.cpp
+++ b/unittests/node/upstream_registry_test.cpp
@@ -110,10 +110,10 @@
 protected:
     restarted_node()
     {
-        registry_.verify_born_before(second_born_ms,
-                                     [this](const local_upstream& upstream, std::uint64_t) {
-                                         verified_ids_.push_back(upstream.id);
-                                     });
+        registry_.verify_processes_born_before(
+            second_born_ms, [this](const local_upstream& upstream, std::uint64_t) {
+                verified_ids_.push_back(upstream.id);
+            });
     }
 
     std::vector<std::string> verified_ids_;
