--- a/include/chestnutstand/node/upstream_registry.h
+++ b/include/chestnutstand/node/upstream_registry.h
@@ -86,7 +86,7 @@
 
     bool is_outdated(const upstream_heartbeat& heartbeat) const;
     bool has_left(const upstream_heartbeat& heartbeat) const;
-    bool may_admit(const upstream_heartbeat& heartbeat);
+    bool check_admission(const upstream_heartbeat& heartbeat);
 
     listener changed_;
     std::optional<local_upstream> current_;
--- a/lib/node/upstream_registry.cpp
+++ b/lib/node/upstream_registry.cpp
@@ -42,7 +42,7 @@
     verify_ = std::move(verify);
 }
 
-bool upstream_registry::may_admit(const upstream_heartbeat& heartbeat)
+bool upstream_registry::check_admission(const upstream_heartbeat& heartbeat)
 {
     if (confirmed_ || !verify_) {
         return true;
@@ -96,7 +96,7 @@
     if (heartbeat.state == upstream_state::draining) {
         leave(id_, born_ms_, born_ms_);
     }
-    if (!has_left(heartbeat) && may_admit(heartbeat)) {
+    if (!has_left(heartbeat) && check_admission(heartbeat)) {
         announce(upstream, now);
     }
     return heartbeat_result::accepted;
