--- a/lib/node/dispatcher.cpp
+++ b/lib/node/dispatcher.cpp
@@ -39,7 +39,7 @@
 }
 
 /// Returns true if no further attempt can improve on the result, so that it ends the call.
-bool is_final(const dispatched_call& state, const call_result& result)
+bool is_final_response(const dispatched_call& state, const call_result& result)
 {
     return result.outcome == call_outcome::completed &&
            !(state.idempotent && is_transient_failure(result.response));
@@ -298,7 +298,7 @@
 void dispatcher::core::finish_attempt(const call_state& state, std::uint32_t attempt_budget,
                                       std::uint64_t member, call_result result)
 {
-    const bool ends_call = is_final(*state, result);
+    const bool ends_call = is_final_response(*state, result);
     {
         const std::lock_guard lock{state->mutex};
         --state->attempts_in_flight;
