--- a/lib/node/ingress.cpp
+++ b/lib/node/ingress.cpp
@@ -58,7 +58,7 @@
 /// Returns the position in [0, 1) of a request in the weighted split of its route. Multiples of the
 /// golden ratio cover the interval more evenly than random numbers do, so that the shares of the
 /// services come close to their weights even for a few requests.
-double split_position(std::uint64_t number)
+double low_discrepancy_position(std::uint64_t number)
 {
     constexpr std::uint64_t golden_ratio = 0x9e3779b97f4a7c15ULL;
     constexpr double two_to_the_64 = 18446744073709551616.0;
@@ -144,7 +144,7 @@
     const time_point start = ms_clock::now();
     const auto in_force = in_force_.load();
     auto parsed = parse_routed_call(request, in_force.get(), options_.headers,
-                                    split_position(next_position_++), start);
+                                    low_discrepancy_position(next_position_++), start);
     if (const auto* refused = std::get_if<refusal>(&parsed)) {
         refuse(request, *response, refused->reason, refused->detail);
         return;
@@ -158,8 +158,8 @@
     }
     call.cancel = response->disconnected();
     latency_histogram& latency = stats_.call_latency(call.service, call.priority);
-    const auto retry_after =
-        retry_delay(latency_target_of(*in_force, call), split_position(next_retry_after_++));
+    const auto retry_after = retry_delay(latency_target_of(*in_force, call),
+                                         low_discrepancy_position(next_retry_after_++));
     dispatcher_.dispatch(call, [this, response, start, &latency, retry_after](call_result result) {
         latency.record(ms_clock::now() - start);
         send(*response, make_routed_response(std::move(result), retry_after));
