--- a/include/chestnutstand/node/executor.h
+++ b/include/chestnutstand/node/executor.h
@@ -100,7 +100,7 @@
         std::string request_id;
     };
 
-    struct waiting_call {
+    struct waiting_routed_call {
         std::uint64_t target_instance = 0;
         service_call call;
         call_done done;
@@ -174,7 +174,7 @@
     upstream_slowdown pace_;
     bool slowdown_probe_running_ = false;
     /// Calls that wait for the running pace probe.
-    std::vector<waiting_call> waiting_for_slowdown_;
+    std::vector<waiting_routed_call> waiting_for_slowdown_;
     token_bucket slowdown_probe_budget_;
     time_point slowdown_probes_paused_until_;
     bool draining_ = false;
--- a/lib/node/executor_pace.cpp
+++ b/lib/node/executor_pace.cpp
@@ -61,7 +61,7 @@
                  [this](const http_result& result) {
                      const auto now = ms_clock::now();
                      observe_slowdown(result, now);
-                     std::vector<waiting_call> waiting_calls;
+                     std::vector<waiting_routed_call> waiting_calls;
                      {
                          const std::lock_guard lock{mutex_};
                          slowdown_probe_running_ = false;
