--- a/include/chestnutstand/node/dispatcher.h
+++ b/include/chestnutstand/node/dispatcher.h
@@ -35,7 +35,10 @@
 };
 
 /// Selects a member of the called service for each call, sends the call to it and retries failed
-/// attempts within the retry budgets. Thread-safe; callbacks run on any thread.
+/// attempts. A retry needs two budgets: that of the call tree (service_call::retry_budget), which
+/// bounds the attempts of a call and of the calls below it, and that of the service, a token bucket
+/// of this node for all its retries and hedges to the service. An attempt that never reached an
+/// upstream is repeated at the cost of neither. Thread-safe; callbacks run on any thread.
 class dispatcher {
 public:
     /// The referenced objects must outlive all calls in flight. `local` may be null; calls to this
@@ -47,16 +50,19 @@
     dispatcher& operator=(const dispatcher&) = delete;
     ~dispatcher();
 
-    /// Runs a call on a member of its service and invokes the callback exactly once. A call
-    /// of a priority class that is not idempotent is refused unless it has an idempotency key; a
-    /// call with a key belongs to the owner of the key, see key_router.
+    /// Runs a call on a member of its service and invokes the callback exactly once. The route of a
+    /// routed call says whether it may run more than once. Any other call, to /call/, must be of an
+    /// idempotent priority class and is refused otherwise. A call with an idempotency key must not
+    /// be passed to this method, which does not check that: it goes through key_router.
     void dispatch(const service_call& call, call_done done);
 
     /// Runs one attempt on the given member and records its result in the statistics of the member.
-    /// Never retries. The attempt passes on the retry budget of `call` unchanged.
+    /// Never retries. The attempt carries the retry budget of `call`, that of the call tree,
+    /// unchanged.
     void execute_on(const node_reference& target, const service_call& call, call_done done);
 
-    /// Returns the candidates in the order of the current cost of sending them a call of the given
+    /// Returns the candidates of an idempotency key, the members that are listed in it and that
+    /// alone may run its call, in the order of the current cost of sending them a call of the given
     /// priority class, cheapest first. Members that should be avoided come last.
     std::vector<node_reference> rank(const std::string& service, std::string_view priority,
                                      std::vector<node_reference> candidates);
@@ -66,7 +72,8 @@
     std::vector<node_reference> choose_distinct(const std::string& service,
                                                 std::string_view priority, std::size_t count);
 
-    /// Replaces the retry limits that apply to all nodes together.
+    /// Replaces the retry limits that apply to all nodes together; they set the budgets of the
+    /// services, not those of the call trees.
     void set_retry_limits(const std::optional<fleet_retry_limits>& limits);
 
 private:
--- a/lib/node/attempt_result.h
+++ b/lib/node/attempt_result.h
@@ -6,8 +6,11 @@
 
 // Predicates on the result of one attempt that decide about the next one.
 
-/// Returns true if the upstream may have received the attempt and made further calls for it. Every
-/// refusal other than the upstream's own happens before the upstream sees the call.
+/// Returns true if the upstream process that the attempt was meant for may have received it and
+/// made further calls for it. Of the refusals, only the upstream's own (upstream_refused) counts:
+/// all others happen before that process sees the call. That includes upstream_replaced, a response
+/// with status 421: another process at the same address has rejected the call because it was meant
+/// for its predecessor, and has done no work for it.
 inline bool reached_upstream(const call_result& result)
 {
     return result.outcome != call_outcome::not_run ||
--- a/lib/node/dispatcher.cpp
+++ b/lib/node/dispatcher.cpp
@@ -2,6 +2,7 @@
 
 #include "attempt_result.h"
 #include "dispatched_call.h"
+#include "routed_call.h"
 
 #include "chestnutstand/keys/attempt_ledger.h"
 #include "chestnutstand/support/log.h"
@@ -38,7 +39,8 @@
     return found == entries.end() ? nullptr : &*found;
 }
 
-/// Returns true if no further attempt can improve on the result, so that it ends the call.
+/// Returns true if the result is a response that is passed to the caller at once. Another result is
+/// a failure: it ends the call only if no attempt is in flight and retry() starts no further one.
 bool is_final_response(const dispatched_call& state, const call_result& result)
 {
     return result.outcome == call_outcome::completed &&
@@ -60,7 +62,7 @@
 /// Passes the result to the caller. For routed calls, logs the result and the attempts behind it.
 void complete_call(dispatched_call& state, call_result result)
 {
-    if (state.call.repeat != repeatability::by_class) {
+    if (is_routed(state.call)) {
         const bool completed = result.outcome == call_outcome::completed;
         log_event(log_level::info, "call answered",
                   {{"request_id", state.call.request_id},
@@ -168,10 +170,10 @@
     }
     const priority_config* priority = find_named(service->priorities, call.priority);
     const bool keyed = !call.idempotency_key.empty();
-    const bool by_class = call.repeat == repeatability::by_class;
-    const bool idempotent = by_class ? !keyed && priority != nullptr && priority->idempotent
-                                     : call.repeat == repeatability::repeatable;
-    if (by_class && !keyed && !idempotent) {
+    const bool routed = is_routed(call);
+    const bool idempotent = routed ? call.repeat == repeatability::repeatable
+                                   : !keyed && priority != nullptr && priority->idempotent;
+    if (!routed && !keyed && !idempotent) {
         refuse(reason_code::key_required, done);
         return;
     }
@@ -181,7 +183,7 @@
         refuse(reason_code::no_route, state->done);
         return;
     }
-    if (!by_class) {
+    if (routed) {
         schedule_time_limit(state);
     }
     schedule_hedge(state);
@@ -213,24 +215,26 @@
 }
 
 /// Sends the call to a member that has not been tried yet. Returns false if there is none, or if
-/// the attempts of the call or its retry budget are used up.
+/// the attempts of the call or the budget of its call tree are used up. attempt_budget is the part
+/// of the tree's budget that the attempt carries to the upstream. The budget of the service is
+/// separate: retry() and hedge() take a token of it with take_retry() before.
 bool dispatcher::core::start_attempt(const call_state& state)
 {
     std::shared_ptr<peer> target;
     std::uint32_t attempt_budget = 0;
     bool movable = false;
-    const bool by_class = state->call.repeat == repeatability::by_class;
+    const bool routed = is_routed(state->call);
     const auto cancel = std::make_shared<cancellation>();
     {
         const std::lock_guard lock{state->mutex};
         if (state->finished || state->placements >= attempt_limit) {
             return false;
         }
-        const std::optional<std::uint32_t> share = state->budget.start();
-        if (!share) {
+        const std::optional<std::uint32_t> carried = state->budget.start();
+        if (!carried) {
             return false;
         }
-        attempt_budget = *share;
+        attempt_budget = *carried;
         const service_call& call = state->call;
         const auto choose = [&] {
             return selector_.choose(call.service, call.priority, state->tried_members,
@@ -246,7 +250,7 @@
         }
         ++state->placements;
         state->tried_members.push_back(target->node.instance);
-        movable = !by_class && !state->slow_members_allowed && state->placements < move_limit;
+        movable = routed && !state->slow_members_allowed && state->placements < move_limit;
         state->cancellations.push_back(cancel);
         ++state->attempts_in_flight;
     }
@@ -275,6 +279,8 @@
            options_.now() + settle_timeout < state.call.deadline;
 }
 
+/// Asks the executor for the outcome of an at-most-once attempt. Such a call has no idempotency
+/// key; its request id stands in for one, in the request and in the reason key_fenced.
 void dispatcher::core::settle(const call_state& state, std::uint32_t attempt_budget,
                               const node_reference& target)
 {
@@ -348,14 +354,15 @@
         return false;
     }
     // An attempt that was refused before it reached an upstream adds no load there: moving the call
-    // to another member is still one upstream request, so it needs no retry budget.
-    const bool uses_retry_budget = reached_upstream(result);
-    if (uses_retry_budget && !selector_.take_retry(state->call.service)) {
+    // to another member is still one upstream request, so it takes nothing from the budget of the
+    // service; finish_attempt() has given its part of the call tree's budget back.
+    const bool uses_service_budget = reached_upstream(result);
+    if (uses_service_budget && !selector_.take_retry(state->call.service)) {
         counters_.count(reason_event::refused, reason_code::retry_budget_exhausted);
         return false;
     }
     if (!start_attempt(state)) {
-        if (uses_retry_budget) {
+        if (uses_service_budget) {
             selector_.give_back_retry(state->call.service);
         }
         return false;
@@ -409,7 +416,7 @@
     attempt.movable = movable;
     attempt.retry_budget = attempt_budget;
     attempt.cancel = cancel;
-    if (call.repeat == repeatability::by_class) {
+    if (!is_routed(call)) {
         attempt.request_id = std::to_string(options_.self_instance) + "-" +
                              std::to_string(next_request_.fetch_add(1));
     }
--- a/lib/node/upstream_exchange.cpp
+++ b/lib/node/upstream_exchange.cpp
@@ -1,5 +1,7 @@
 #include "chestnutstand/node/upstream_exchange.h"
 
+#include "routed_call.h"
+
 #include "chestnutstand/transport/headers.h"
 
 #include <algorithm>
@@ -91,7 +93,7 @@
 milliseconds upstream_timeout(const service_call& call, time_point now)
 {
     milliseconds remaining = std::max(call.deadline - now, milliseconds{1});
-    if (call.repeat != repeatability::by_class) {
+    if (is_routed(call)) {
         remaining += response_grace;
     }
     return call.idempotency_key.empty() ? remaining : std::max(remaining, min_keyed_timeout);
@@ -103,10 +105,10 @@
     if (result.error == http_error::connect_failed) {
         return not_run(reason_code::upstream_unreachable);
     }
-    // The close of the connection delimits such a response; after a reset the transport reports it
-    // as truncated.
-    const bool delimited_by_close =
-        result.error == http_error::unframed && call.repeat != repeatability::by_class;
+    // An unframed response has neither a length nor chunked framing; it ends where the upstream
+    // closes the connection. For a routed call it counts as complete, because after a reset of the
+    // connection the transport reports the response as truncated instead.
+    const bool delimited_by_close = result.error == http_error::unframed && is_routed(call);
     if (result.error != http_error::none && !delimited_by_close) {
         return unknown_outcome(reason_for(result.error));
     }
@@ -120,7 +122,7 @@
         return not_run(reason_code::upstream_refused);
     }
     remove_hop_by_hop_headers(result.response.headers);
-    if (call.repeat == repeatability::by_class) {
+    if (!is_routed(call)) {
         remove_own_headers(result.response.headers);
     }
     return {call_outcome::completed, reason_code::none, std::move(result.response), {}};
