--- a/include/chestnutstand/node/executor.h
+++ b/include/chestnutstand/node/executor.h
@@ -37,8 +37,8 @@
 /// Runs calls on the local upstream as the admission queue permits, and measures the upstream with
 /// probes within the configured budget.
 ///
-/// The pace of an upstream is the factor by which its work currently takes longer than usual; 1 is
-/// the usual time. See upstream_slowdown.
+/// The slowdown of an upstream is the factor by which its work takes longer now; 1 is the usual
+/// time. See upstream_slowdown. load_report::pace carries it to other nodes.
 ///
 /// Only the executor sends calls to the upstream. Must outlive its running calls.
 class executor {
@@ -71,11 +71,11 @@
     /// has not started.
     settle_result settle_attempt(const std::string& request_id);
 
-    /// Whether no call is queued, running or waiting for the pace.
+    /// Whether no call is queued, running or waiting for a slowdown probe.
     bool idle() const;
 
 private:
-    /// A call from its admission to its completion.
+    /// A call from the time at which it enters the queue to its completion.
     struct call_execution {
         std::uint64_t id = 0;
         service_call call;
@@ -100,6 +100,8 @@
         std::string request_id;
     };
 
+    /// A call that waits for a slowdown probe before it is offered to the queue. Only routed calls
+    /// wait, so there is no key.
     struct waiting_routed_call {
         std::uint64_t target_instance = 0;
         service_call call;
@@ -111,8 +113,9 @@
     struct deferred_actions {
         std::vector<call_execution_ptr> to_send;
         std::vector<refused_call> refusals;
-        /// Newly admitted call whose cancellation must be observed.
-        call_execution_ptr admitted;
+        /// New call that the queue has not refused, so that it is queued or started; its
+        /// cancellation must be observed.
+        call_execution_ptr accepted;
     };
 
     // Methods that take deferred_actions by reference require the mutex to be held.
@@ -123,11 +126,16 @@
     std::uint32_t usable_slots() const;
     std::optional<reason_code> refusal_reason(std::uint64_t target_instance,
                                               const service_call& call, time_point now) const;
-    /// Offers a call to the queue, after a pace probe if the pace is not known.
+    /// Offers a call to the queue. A routed call first waits for a slowdown probe if the slowdown
+    /// of the upstream is not known; all other calls are offered at once.
     void offer(std::uint64_t target_instance, service_call call, const std::optional<key_id>& key,
                const call_done& done, time_point now);
+    /// Index of the queue's class for a call. A routed call whose class is not configured here gets
+    /// a fallback class, which exists unless the queue has no classes; any other call gets nullopt.
     std::optional<std::size_t> find_class(const service_call& call) const;
-    void admit(call_execution_ptr execution, time_point now, deferred_actions& deferred);
+    /// Offers a call to the queue, which starts it at once, queues it or refuses it. An
+    /// at-most-once call is refused before if its request id is already known.
+    void enter_queue(call_execution_ptr execution, time_point now, deferred_actions& deferred);
     void apply_queue_decisions(time_point now, deferred_actions& deferred);
     /// Returns false when the key or the request id of the call is fenced.
     bool try_mark_started(call_execution& execution);
@@ -143,14 +151,16 @@
                        time_point now) const;
     static void log_refusal(const refused_call& refused);
     void observe_slowdown(const http_result& result, time_point now);
-    /// Probes a slow upstream whose last pace report is old.
+    /// Probes an upstream that was slow at its last report if that report is old. Takes no token of
+    /// slowdown_probe_budget_.
     void probe_stale_slowdown(time_point now);
-    /// Whether a call should wait for a pace probe. Takes a token of the probe budget if that
-    /// starts a new probe.
+    /// Whether a call should wait for a slowdown probe; always false for a call that is not routed.
+    /// Takes a token of slowdown_probe_budget_ if that starts a new probe.
     bool should_wait_for_slowdown(const service_call& call, time_point now);
     /// Path at which the upstream reports its load; empty when none is configured.
     std::string health_path() const;
     void probe_slowdown(const std::string& base_url, const std::string& path);
+    /// Refuses a call that this node cannot run, or else passes it to enter_queue().
     void offer_to_queue(std::uint64_t target_instance, service_call call,
                         const std::optional<key_id>& key, const call_done& done, time_point now);
     void update_queue_slowdown(time_point now);
@@ -171,10 +181,12 @@
     std::unordered_map<std::uint64_t, call_execution_ptr> executions_;
     std::uint64_t last_id_ = 0;
     attempt_ledger attempts_;
-    upstream_slowdown pace_;
+    upstream_slowdown slowdown_;
     bool slowdown_probe_running_ = false;
-    /// Calls that wait for the running pace probe.
+    /// Calls that wait for the running slowdown probe.
     std::vector<waiting_routed_call> waiting_for_slowdown_;
+    /// Limits the slowdown probes for which calls wait. Unrelated to probe_budget_per_s of the
+    /// service, which limits the probes of prober_.
     token_bucket slowdown_probe_budget_;
     time_point slowdown_probes_paused_until_;
     bool draining_ = false;
--- a/lib/node/executor.cpp
+++ b/lib/node/executor.cpp
@@ -1,5 +1,7 @@
 #include "chestnutstand/node/executor.h"
 
+#include "routed_call.h"
+
 #include "chestnutstand/admission/reported_load.h"
 #include "chestnutstand/node/upstream_exchange.h"
 #include "chestnutstand/support/log.h"
@@ -12,11 +14,12 @@
 namespace chestnutstand {
 namespace {
 
-/// A quarter of the rate that the platforms allow, so that probes add no noticeable load.
+/// Maximum rate of the slowdown probes for which calls wait, low enough that they add no noticeable
+/// load.
 constexpr double slowdown_probes_per_s = 15.0;
 constexpr double slowdown_probe_burst = 5.0;
-/// Age of the token bucket at construction: it starts full, because the pace of the upstream is
-/// still unknown then.
+/// A token bucket starts empty. That of the slowdown probes is constructed with a start time this
+/// far in the past, in which it fills up, because the slowdown of the upstream is unknown at first.
 constexpr milliseconds slowdown_probe_prefill_time{1'000};
 constexpr int status_too_many_requests = 429;
 constexpr int status_server_error = 500;
@@ -165,18 +168,21 @@
     if (!find_class(call)) {
         return reason_code::unknown_priority;
     }
-    if (call.movable && pace_.slow(now)) {
+    if (call.movable && slowdown_.slow(now)) {
         return reason_code::upstream_slow;
     }
     return std::nullopt;
 }
 
-// The sender may use a newer or older document, whose routes define other priority classes. Its
-// call is then queued in another class of the same rank.
+// The class of a routed call is named rank-N/T after the rank N and the latency target T of its
+// route; the lower the rank, the more urgent is the class. The sender may use a newer or older
+// document, whose routes define other classes. Its call is then queued in the first class with the
+// prefix rank-N/, or in the least urgent class if there is none. A name without a slash gives an
+// empty prefix, which every class has, and so the first class.
 std::optional<std::size_t> executor::find_class(const service_call& call) const
 {
     const auto found = queue_->find_priority(call.priority);
-    if (found || call.repeat == repeatability::by_class) {
+    if (found || !is_routed(call)) {
         return found;
     }
     const auto end = call.priority.find('/');
@@ -224,16 +230,18 @@
             execution->call = std::move(call);
             execution->done = done;
             execution->key = key;
-            admit(std::move(execution), now, deferred);
+            enter_queue(std::move(execution), now, deferred);
         }
     }
     run_deferred(std::move(deferred));
 }
 
-void executor::admit(call_execution_ptr execution, time_point now, deferred_actions& deferred)
+void executor::enter_queue(call_execution_ptr execution, time_point now, deferred_actions& deferred)
 {
     const auto priority = find_class(execution->call).value();
     const bool at_most_once = runs_at_most_once(execution->call);
+    // An at-most-once call has no idempotency key; key_running refers to its request id, which is
+    // fenced or belongs to another copy of the call.
     if (at_most_once && !attempts_.admit(execution->call.request_id, now)) {
         deferred.refusals.push_back({execution->done, execution->key, reason_code::key_running,
                                      report_locked(), execution->call.request_id});
@@ -247,11 +255,12 @@
         return;
     }
     executions_[execution->id] = execution;
+    // offer_state::admitted means that the call starts now; otherwise it is queued.
     if (offered.result == offer_state::admitted) {
         start(execution, now, deferred);
     }
     apply_queue_decisions(now, deferred);
-    deferred.admitted = std::move(execution);
+    deferred.accepted = std::move(execution);
 }
 
 void executor::apply_queue_decisions(time_point now, deferred_actions& deferred)
@@ -282,6 +291,7 @@
     }
     queue_->finish(execution->id, {}, now);
     executions_.erase(execution->id);
+    // key_fenced refers to the request id here: an at-most-once call has no idempotency key.
     if (runs_at_most_once(execution->call)) {
         deferred.refusals.push_back({execution->done, execution->key, reason_code::key_fenced,
                                      report_locked(), execution->call.request_id});
@@ -357,16 +367,17 @@
         }
         auto result = refusal_result(refusal.reason, std::move(refusal.load));
         if (refusal.reason == reason_code::key_running) {
-            // Another copy of the call has run or may run here, or the request id was settled.
+            // The reason comes from enter_queue(): another copy of the at-most-once call has run or
+            // may run here, or its request id was settled.
             result.outcome = call_outcome::unknown;
         }
         refusal.done(std::move(result));
     }
     // A keyed call continues without its caller, because other callers may wait for the same key.
-    if (deferred.admitted && !deferred.admitted->key && deferred.admitted->call.cancel) {
-        deferred.admitted->call.cancel->on_cancel(
-            [this, admitted = std::weak_ptr{deferred.admitted}] {
-                if (const auto execution = admitted.lock()) {
+    if (deferred.accepted && !deferred.accepted->key && deferred.accepted->call.cancel) {
+        deferred.accepted->call.cancel->on_cancel(
+            [this, accepted = std::weak_ptr{deferred.accepted}] {
+                if (const auto execution = accepted.lock()) {
                     cancel(execution);
                 }
             });
@@ -488,7 +499,7 @@
     else if (!queue_) {
         load.limit = usable_slots();
     }
-    load.pace = pace_.factor(ms_clock::now());
+    load.pace = slowdown_.factor(ms_clock::now());
     load.draining = draining_;
     load.upstream_registered = upstream_.has_value();
     return load;
--- a/lib/node/executor_slowdown.cpp
+++ b/lib/node/executor_slowdown.cpp
@@ -1,4 +1,6 @@
-// Tracks the pace of the executor's upstream.
+// Tracks the slowdown of the executor's upstream.
+
+#include "routed_call.h"
 
 #include "chestnutstand/admission/reported_load.h"
 #include "chestnutstand/node/executor.h"
@@ -9,8 +11,8 @@
 namespace chestnutstand {
 namespace {
 
-/// A healthy upstream responds to a pace probe immediately; after a probe without a pace report, no
-/// call waits for another one during the backoff.
+/// A healthy upstream responds to a slowdown probe immediately; after a probe without a slowdown
+/// report, no call waits for another one during the backoff.
 constexpr milliseconds slowdown_probe_timeout{50};
 constexpr milliseconds slowdown_probe_backoff{1'000};
 
@@ -18,9 +20,8 @@
 
 bool executor::should_wait_for_slowdown(const service_call& call, time_point now)
 {
-    if (call.repeat == repeatability::by_class || names_.upstream_load.empty() ||
-        health_path().empty() || pace_.has_recent_report(now) ||
-        now < slowdown_probes_paused_until_) {
+    if (!is_routed(call) || names_.upstream_load.empty() || health_path().empty() ||
+        slowdown_.has_recent_report(now) || now < slowdown_probes_paused_until_) {
         return false;
     }
     return slowdown_probe_running_ || slowdown_probe_budget_.try_take(now);
@@ -34,7 +35,7 @@
 }
 
 // A call that starts on a slow VM takes several times as long as usual, while a probe takes about a
-// millisecond. So a call waits for a probe when the last pace report is old.
+// millisecond. So a routed call waits for a probe when the last slowdown report is old.
 void executor::offer(std::uint64_t target_instance, service_call call,
                      const std::optional<key_id>& key, const call_done& done, time_point now)
 {
@@ -45,6 +46,7 @@
         offer_to_queue(target_instance, std::move(call), key, done, now);
         return;
     }
+    // Only routed calls wait, and they have no key.
     waiting_for_slowdown_.push_back({target_instance, std::move(call), done});
     if (std::exchange(slowdown_probe_running_, true)) {
         return;
@@ -66,7 +68,7 @@
                          const std::lock_guard lock{mutex_};
                          slowdown_probe_running_ = false;
                          waiting_calls.swap(waiting_for_slowdown_);
-                         if (!pace_.has_recent_report(now)) {
+                         if (!slowdown_.has_recent_report(now)) {
                              slowdown_probes_paused_until_ = now + slowdown_probe_backoff;
                          }
                      }
@@ -78,11 +80,11 @@
                  });
 }
 
-// Passes the pace to the queue, which holds calls back while the upstream is slow.
+// Passes the slowdown to the queue, which holds calls back while the upstream is slow.
 void executor::update_queue_slowdown(time_point now)
 {
     if (queue_) {
-        queue_->set_slowdown(pace_.slow(now) ? pace_.factor(now) : 1.0);
+        queue_->set_slowdown(slowdown_.slow(now) ? slowdown_.factor(now) : 1.0);
     }
 }
 
@@ -99,11 +101,12 @@
         return;
     }
     const std::lock_guard lock{mutex_};
-    pace_.observe(load->pace, now);
+    slowdown_.observe(load->pace, now);
     update_queue_slowdown(now);
 }
 
-// Otherwise a slow upstream that gets no calls would not report that it is back to its usual pace.
+// A slow upstream that gets no calls sends no responses, and so cannot report there that it is back
+// to its usual speed. The probe asks for the report.
 void executor::probe_stale_slowdown(time_point now)
 {
     std::string url;
@@ -111,7 +114,7 @@
     {
         const std::lock_guard lock{mutex_};
         path = health_path();
-        if (slowdown_probe_running_ || path.empty() || !pace_.needs_refresh(now)) {
+        if (slowdown_probe_running_ || path.empty() || !slowdown_.needs_refresh(now)) {
             return;
         }
         slowdown_probe_running_ = true;
--- a/unittests/node/executor_test.cpp
+++ b/unittests/node/executor_test.cpp
@@ -398,7 +398,7 @@
     }
 };
 
-// Guards against starting a call on a slow VM because its last pace report is old.
+// Guards against starting a call on a slow VM because its last slowdown report is old.
 TEST_F(executor_with_health_path, probes_the_slowdown_before_it_starts_a_call)
 {
     execute_movable(true);
