--- a/include/chestnutstand/node/upstream_registry.h
+++ b/include/chestnutstand/node/upstream_registry.h
@@ -33,36 +33,42 @@
     outdated, ///< Arrived out of order, or comes from an older process than the newest known one.
 };
 
-/// Holds the registration of the local upstream and its lease. An upstream process that has
-/// deregistered or reported that it drains is not admitted again; a newer process is. Used on the
-/// control thread only.
+/// Holds the registration of the local upstream and its lease. An upstream registers in one of two
+/// ways. One that sends heartbeats (PUT /upstreams/{id}) is admitted by announce(): a process that
+/// has deregistered or reported that it drains is not admitted again; a newer process is. One that
+/// uses POST /register is admitted by admit() unconditionally. Used on the control thread only.
 class upstream_registry {
 public:
     using listener = std::function<void(const std::optional<local_upstream>&)>;
 
-    /// Checks asynchronously that an upstream is healthy and not about to leave; calls confirm() if
-    /// so.
+    /// Checks asynchronously that an upstream is healthy and not about to leave, as far as there is
+    /// a way to ask it; calls confirm() unless the check fails.
     using verifier = std::function<void(const local_upstream& upstream, std::uint64_t born_ms)>;
 
     /// The listener runs when the upstream is admitted, changes or is withdrawn.
     explicit upstream_registry(listener changed);
 
-    /// An upstream process that started before this time (Unix, milliseconds) may have deregistered
-    /// from an earlier process of this node, and a delayed heartbeat of it may arrive afterwards.
-    /// Such a process is admitted only when it is confirmed or has sent several ready heartbeats in
-    /// a row.
+    /// Sets the time (Unix, milliseconds) before which a process must have started to be verified,
+    /// and the function that verifies it. Such a process may have deregistered from an earlier
+    /// process of this node, and a delayed heartbeat of it may arrive afterwards. So it is admitted
+    /// only when it is confirmed or has sent several ready heartbeats. All other processes are
+    /// admitted at their first ready heartbeat.
     void verify_processes_born_before(std::uint64_t unix_ms, verifier verify);
 
-    /// Admits the process, which has responded that it is healthy and not about to leave. No effect
-    /// unless it is the newest known process and has not left.
+    /// Admits a process that passed its verification: its health path has responded with success,
+    /// or there was nothing to ask, because no document, service or health path is configured. No
+    /// effect unless it is the newest known process, has not left and is not confirmed yet.
     void confirm(const std::string& id, std::uint64_t born_ms, time_point now);
 
-    /// Registers the upstream or renews its lease. A draining heartbeat withdraws the upstream: the
-    /// listener has run when this method returns.
+    /// Handles a heartbeat. A ready one admits the upstream or renews its lease, unless the process
+    /// has left or still has to be verified. A draining one withdraws the upstream: the listener
+    /// has run when this method returns.
     heartbeat_result announce(const upstream_heartbeat& heartbeat, time_point now);
 
-    /// Registers an upstream that reports no process id, start time or state.
-    void announce(local_upstream upstream, time_point now);
+    /// Admits an upstream or renews its lease, without any check. Called directly for an upstream
+    /// that registers without heartbeats and so reports no process id, start time or state, and as
+    /// the last step of announce() and confirm().
+    void admit(local_upstream upstream, time_point now);
 
     /// Records that the process with the id leaves, even if it is not known yet. born_ms is its
     /// start time, or 0 when that is not known.
@@ -86,6 +92,9 @@
 
     bool is_outdated(const upstream_heartbeat& heartbeat) const;
     bool has_left(const upstream_heartbeat& heartbeat) const;
+    /// Decides whether a ready heartbeat admits its process now. For an unconfirmed process, stores
+    /// the upstream and counts the heartbeat; confirms the process at the last of the required
+    /// heartbeats, and starts a verification before.
     bool check_admission(const upstream_heartbeat& heartbeat);
 
     listener changed_;
--- a/lib/node/admin_api.cpp
+++ b/lib/node/admin_api.cpp
@@ -277,7 +277,7 @@
         return;
     }
     node_.control().post([this, response, upstream = std::move(*upstream)]() mutable {
-        node_.get<upstream_registry>().announce(std::move(upstream), ms_clock::now());
+        node_.get<upstream_registry>().admit(std::move(upstream), ms_clock::now());
         response->send(json_response(200, {{"status", "registered"}}));
     });
 }
--- a/lib/node/components/executor_component.cpp
+++ b/lib/node/components/executor_component.cpp
@@ -14,8 +14,9 @@
 constexpr milliseconds lease_check_interval{500};
 constexpr milliseconds health_timeout{500};
 constexpr milliseconds extra_key_lifetime{60'000};
-// Bounds how late a queued call is refused after its time has passed while no other call completes.
-// At 10 ms, polling took most of the processor time of an idle node.
+// A queued call whose deadline or queue timeout has passed is refused when another call completes,
+// or else by the next poll, so at most this much too late. The polls of an idle node would take
+// most of its processor time if the interval were as short as 10 ms.
 constexpr milliseconds poll_interval{40};
 
 /// Provides the executor and the lease of the local upstream.
@@ -65,8 +66,8 @@
     bool idle() const override { return executor_->idle(); }
 
 private:
-    /// Confirms an upstream whose health path responds with status 200. An upstream without a
-    /// health path is confirmed without a request.
+    /// Confirms an upstream whose health path responds with status 200. Without a document, a
+    /// service in it or a health path there, the upstream is confirmed without a request.
     void verify_upstream(kernel& node, const local_upstream& upstream, std::uint64_t born_ms)
     {
         const auto confirm = [this, &node, id = upstream.id, born_ms] {
--- a/lib/node/upstream_registry.cpp
+++ b/lib/node/upstream_registry.cpp
@@ -66,7 +66,7 @@
         return;
     }
     confirmed_ = true;
-    announce(unconfirmed_upstream_, now);
+    admit(unconfirmed_upstream_, now);
 }
 
 heartbeat_result upstream_registry::announce(const upstream_heartbeat& heartbeat, time_point now)
@@ -97,12 +97,12 @@
         leave(id_, born_ms_, born_ms_);
     }
     if (!has_left(heartbeat) && check_admission(heartbeat)) {
-        announce(upstream, now);
+        admit(upstream, now);
     }
     return heartbeat_result::accepted;
 }
 
-void upstream_registry::announce(local_upstream upstream, time_point now)
+void upstream_registry::admit(local_upstream upstream, time_point now)
 {
     lease_end_ = now + lease_time;
     if (current_ == upstream) {
