--- a/include/chestnutstand/node/ingress.h
+++ b/include/chestnutstand/node/ingress.h
@@ -18,7 +18,8 @@
     std::uint64_t instance = 0;
     caller_interface interface_for_callers = caller_interface::calls;
     header_names headers;
-    /// Service whose VM the callers run on. Sent to upstreams in headers.origin_service.
+    /// Service of the upstream on the VM of this node; the callers run on the same VM. Sent to the
+    /// upstreams of routed calls in headers.origin_service.
     std::string origin_service;
 };
 
@@ -61,9 +62,9 @@
     key_router* keys_;
     metrics& stats_;
     std::atomic<std::uint64_t> next_call_ = 0;
-    /// Sequence number that determines the position of a request in the split of its route.
+    /// Index into the low-discrepancy sequence that places requests in the split of their route.
     std::atomic<std::uint64_t> next_position_ = 0;
-    /// Sequence number that spreads the Retry-After times of refused callers.
+    /// Index into the low-discrepancy sequence that spreads the Retry-After times.
     std::atomic<std::uint64_t> next_retry_after_ = 0;
     std::atomic<std::uint32_t> in_flight_ = 0;
     std::atomic<bool> draining_ = false;
--- a/include/chestnutstand/node/kernel.h
+++ b/include/chestnutstand/node/kernel.h
@@ -42,7 +42,9 @@
     /// Applies the current values of the reloadable settings.
     virtual void reload(kernel& node);
 
-    /// Begins a planned stop with its lame-duck period: the component must take on no new work.
+    /// Begins a planned stop with its lame-duck period, in which the component lets peers and
+    /// callers know that the node will stop. It may still accept work until end_lame_duck(), and
+    /// ingress does; a component may also refuse work from now on.
     virtual void begin_drain(kernel& node);
 
     /// Ends the lame-duck period: all new work must be refused from now on.
@@ -90,8 +92,11 @@
     /// Random id of this process, never 0.
     std::uint64_t instance() const { return instance_; }
     bool draining() const { return draining_; }
-    /// Whether the upstream reports its own departure. If so, a node that is restarted continues to
-    /// send calls to the upstream during the lame-duck period.
+    /// Whether the upstream itself reports to the node that it leaves, with a draining heartbeat or
+    /// DELETE /upstreams/{id}. This is taken to be the case where callers use routes. A drain of
+    /// the node then does not mean that its upstream stops: the node keeps running calls on it, and
+    /// other members see no drain, until the end of the lame-duck period. Otherwise both change at
+    /// the start of the drain.
     bool upstream_reports_departure() const
     {
         return settings_.interface_for_callers == caller_interface::routes;
@@ -130,8 +135,8 @@
     }
 
 private:
-    /// Aborts the process when an invariant does not hold.
-    static void require(bool invariant);
+    /// Aborts the process when get() has found no object. Knows neither the type nor the component.
+    static void require(bool found);
 
     absl::Status start_with_dependencies(std::string_view name);
     bool all_idle() const;
--- a/include/chestnutstand/node/key_router.h
+++ b/include/chestnutstand/node/key_router.h
@@ -12,6 +12,11 @@
 
 /// Forwards calls and queries with an idempotency key to the owner of the key. If the owner cannot
 /// be reached, settles the key at its candidates. Thread-safe.
+///
+/// The owner of a key is the node that has issued it; only the owner starts the call of the key.
+/// The candidates are the members of the service that are listed in the key; only they may run the
+/// call. Settling a key means to ask every candidate for the state of the call, which fences the
+/// key there if the call has not started, and to derive the outcome from the replies.
 class key_router : public std::enable_shared_from_this<key_router> {
 public:
     key_router(std::uint64_t self, std::string secret, peer_client& peers,
--- a/include/chestnutstand/node/problem.h
+++ b/include/chestnutstand/node/problem.h
@@ -15,8 +15,11 @@
 http_response make_problem(call_outcome outcome, reason_code reason, std::string_view detail = {},
                            int status = 0);
 
-/// Returns the response for the result of a routed call. Status 503 guarantees that the request has
-/// not run and will not run; its Retry-After header is set to `retry_after`.
+/// Returns the response for the result of a routed call. The response of an upstream is passed on
+/// unchanged, whatever its status; a 503 from an upstream therefore says nothing about whether the
+/// request has run. If the outcome is not_run, the response is a problem document with status 503,
+/// whose Retry-After header is set to `retry_after`; the request then has not run and will not run.
+/// An unknown outcome yields a problem document with another status.
 http_response make_routed_response(call_result result, milliseconds retry_after);
 
 /// Returns the response for the result of a call to /call/ or of a query of an outcome.
--- a/lib/node/components/membership_component.cpp
+++ b/lib/node/components/membership_component.cpp
@@ -13,6 +13,7 @@
 namespace chestnutstand {
 namespace {
 
+/// Interval at which the node decides again whether it reads the source of the document.
 constexpr milliseconds tail_check_interval{250};
 /// Slightly longer than a probe period, in which a node receives at least the response to its own
 /// probe.
@@ -80,9 +81,10 @@
         return std::make_shared<join_log>(node.control(), node.get<log_client>());
     }
 
-    /// Whether this node should read the document from its source. A few nodes per data centre do;
-    /// the others learn of changes by gossip, or read the source while they receive no messages.
-    /// When nodes disagree about which members are alive, only the number of readers varies.
+    /// Whether this node should read the document from its source all the time, which configuration
+    /// calls tailing. A few nodes per data centre do; the others learn of changes by gossip, or
+    /// read the source too while they receive no messages. When nodes disagree about which members
+    /// are alive, only the number of readers varies.
     bool should_read_source(kernel& node) const
     {
         if (members_->time_since_last_message() > silence_limit) {
--- a/lib/node/ingress.cpp
+++ b/lib/node/ingress.cpp
@@ -55,14 +55,16 @@
     return parsed;
 }
 
-/// Returns the position in [0, 1) of a request in the weighted split of its route. Multiples of the
-/// golden ratio cover the interval more evenly than random numbers do, so that the shares of the
-/// services come close to their weights even for a few requests.
-double low_discrepancy_position(std::uint64_t number)
+/// Returns the element with the given index of a low-discrepancy sequence in [0, 1): the fractional
+/// parts of the multiples of the golden ratio, which cover the interval more evenly than random
+/// numbers do. One sequence places requests in the weighted split of their route, so that the
+/// shares of the services come close to their weights even for a few requests; another one spreads
+/// the Retry-After times of callers.
+double low_discrepancy_position(std::uint64_t index)
 {
     constexpr std::uint64_t golden_ratio = 0x9e3779b97f4a7c15ULL;
     constexpr double two_to_the_64 = 18446744073709551616.0;
-    return static_cast<double>(number * golden_ratio) / two_to_the_64;
+    return static_cast<double>(index * golden_ratio) / two_to_the_64;
 }
 
 /// Returns the latency target of the call's priority class, or 0 if the class is unknown.
--- a/lib/node/kernel.cpp
+++ b/lib/node/kernel.cpp
@@ -51,10 +51,13 @@
     peers_.reset();
 }
 
-void kernel::require(bool invariant)
+void kernel::require(bool found)
 {
-    if (!invariant) {
-        log_event(log_level::error, "component uses an object that was not provided");
+    if (!found) {
+        log_event(
+            log_level::error,
+            "kernel::get() found no object of the requested type: check the dependencies of the "
+            "component that asked for it");
         std::abort();
     }
 }
