--- a/include/chestnutstand/keys/key_table.h
+++ b/include/chestnutstand/keys/key_table.h
@@ -46,7 +46,7 @@
     expired,   ///< Final: no record, and blocked by the watermark of its owner instance.
 };
 
-constexpr bool is_final_response(key_state state)
+constexpr bool is_final(key_state state)
 {
     return state != key_state::absent && state != key_state::queued && state != key_state::running;
 }
--- a/lib/keys/key_table.cpp
+++ b/lib/keys/key_table.cpp
@@ -60,7 +60,7 @@
     if (record.request && *record.request != request) {
         return {key_admission::kind::answered, 0, not_run(reason_code::key_reused)};
     }
-    if (is_final_response(record.state)) {
+    if (is_final(record.state)) {
         return {key_admission::kind::answered, 0, result_of(record)};
     }
     if (record.waiters.size() >= limits_.waiters_per_key) {
@@ -73,7 +73,7 @@
 std::optional<std::uint64_t> key_table::attach(const key_id& id, call_done done)
 {
     const auto found = entries_.find(id);
-    if (found == entries_.end() || is_final_response(found->second.state) ||
+    if (found == entries_.end() || is_final(found->second.state) ||
         found->second.waiters.size() >= limits_.waiters_per_key) {
         return std::nullopt;
     }
@@ -94,7 +94,7 @@
 released_waiters key_table::finish(const key_id& id, call_result result, time_point now)
 {
     const auto found = entries_.find(id);
-    if (found == entries_.end() || is_final_response(found->second.state)) {
+    if (found == entries_.end() || is_final(found->second.state)) {
         return {};
     }
     return make_final(id, found->second, std::move(result), now);
--- a/tests/history/history_checker.cpp
+++ b/tests/history/history_checker.cpp
@@ -57,7 +57,7 @@
 }
 
 /// True when asking again, or earlier, would not have told the caller more.
-bool is_final_response(reason_code reason)
+bool is_final(reason_code reason)
 {
     switch (reason) {
     case reason_code::key_running:
@@ -77,7 +77,7 @@
 void check_unknown(const call_record& call, const records& seen, report& result)
 {
     ++result.unknown_by_reason[call.reason];
-    if (is_final_response(call.reason) && !is_explained(call, seen)) {
+    if (is_final(call.reason) && !is_explained(call, seen)) {
         result.violations.push_back(
             {rule::unexplained_loss, "call " + call.id + " is unknown with " +
                                          std::string{chestnutstand::to_string(call.reason)} +
--- a/unittests/keys/key_table_test.cpp
+++ b/unittests/keys/key_table_test.cpp
@@ -139,7 +139,7 @@
                 const auto state = table.state({7, sequence});
                 const auto final_state = final_states.find(sequence);
                 RC_ASSERT(final_state == final_states.end() || final_state->second == state);
-                if (is_final_response(state)) {
+                if (is_final(state)) {
                     final_states[sequence] = state;
                 }
             }
