--- a/lib/config/change_replay.cpp
+++ b/lib/config/change_replay.cpp
@@ -51,7 +51,7 @@
     return {change.change_id(), change.offset(), change.accepted()};
 }
 
-std::string stale_base(const std::string& name, std::uint64_t current, std::uint64_t base)
+std::string stale_base_message(const std::string& name, std::uint64_t current, std::uint64_t base)
 {
     return current == 0
                ? str_cat("section ", name, " does not exist, the change is based on version ", base,
@@ -177,7 +177,7 @@
     const auto current = sections_.find(change.section());
     const std::uint64_t version = current == sections_.end() ? 0 : current->second.version;
     if (version != change.base_version()) {
-        return stale_base(change.section(), version, change.base_version());
+        return stale_base_message(change.section(), version, change.base_version());
     }
     if (version != 0 && current->second.owner != change.team()) {
         return foreign_team(current->second, change.team());
@@ -342,7 +342,7 @@
     const auto current = sections_.find(change.section);
     const std::uint64_t version = current == sections_.end() ? 0 : current->second.version;
     if (change.base_version < version) {
-        return with(stale_base(change.section, version, change.base_version));
+        return with(stale_base_message(change.section, version, change.base_version));
     }
     // A later change could hand the section to this team, but would also make the base version
     // stale.
