--- a/lib/config/change_replay.cpp
+++ b/lib/config/change_replay.cpp
@@ -60,7 +60,7 @@
                          ", the change is based on version ", base);
 }
 
-std::string foreign_team(const section& current, const std::string& team)
+std::string wrong_team_message(const section& current, const std::string& team)
 {
     return str_cat("section ", current.name, " is owned by team ", current.owner,
                    ", the change is from team ", team);
@@ -180,7 +180,7 @@
         return stale_base_message(change.section(), version, change.base_version());
     }
     if (version != 0 && current->second.owner != change.team()) {
-        return foreign_team(current->second, change.team());
+        return wrong_team_message(current->second, change.team());
     }
     const auto content = parse_section(change.content(), str_cat("section ", change.section()));
     if (!content.ok()) {
@@ -347,7 +347,7 @@
     // A later change could hand the section to this team, but would also make the base version
     // stale.
     if (version != 0 && change.base_version == version && current->second.owner != change.team) {
-        return with(foreign_team(current->second, change.team));
+        return with(wrong_team_message(current->second, change.team));
     }
     return std::nullopt;
 }
