--- a/include/chestnutstand/config/change_replay.h
+++ b/include/chestnutstand/config/change_replay.h
@@ -113,7 +113,7 @@
     };
 
     replay_verdict apply_change(std::uint64_t offset, const wire::SectionChange& change);
-    replay_verdict compare(std::uint64_t offset, const wire::Checkpoint& checkpoint);
+    replay_verdict apply_checkpoint(std::uint64_t offset, const wire::Checkpoint& checkpoint);
     std::string check_change(std::uint64_t offset, const wire::SectionChange& change,
                              section& result, std::shared_ptr<const document>& next) const;
     std::vector<section> sections_with(const section& changed) const;
--- a/lib/config/change_replay.cpp
+++ b/lib/config/change_replay.cpp
@@ -129,7 +129,7 @@
         verdict = apply_change(offset, record.change());
     }
     else if (record.has_checkpoint()) {
-        verdict = compare(offset, record.checkpoint());
+        verdict = apply_checkpoint(offset, record.checkpoint());
     }
     ++next_offset_;
     forget_old();
@@ -211,7 +211,8 @@
     return result;
 }
 
-replay_verdict change_replay::compare(std::uint64_t offset, const wire::Checkpoint& checkpoint)
+replay_verdict change_replay::apply_checkpoint(std::uint64_t offset,
+                                               const wire::Checkpoint& checkpoint)
 {
     replay_verdict verdict{replay_result::checkpoint_refused, "", 0, ""};
     const std::uint64_t covered = checkpoint.covered_offset();
