--- a/include/chestnutstand/config/change_replay.h
+++ b/include/chestnutstand/config/change_replay.h
@@ -94,7 +94,7 @@
     wire::Checkpoint make_checkpoint() const;
 
     /// The verdict on a change when it is certain before the change is in the log.
-    std::optional<replay_verdict> predict(const section_change& change) const;
+    std::optional<replay_verdict> predict_rejection(const section_change& change) const;
 
     std::optional<recent_change> find_recent(const std::string& change_id) const;
 
--- a/lib/config/change_replay.cpp
+++ b/lib/config/change_replay.cpp
@@ -325,7 +325,7 @@
     return checkpoint;
 }
 
-std::optional<replay_verdict> change_replay::predict(const section_change& change) const
+std::optional<replay_verdict> change_replay::predict_rejection(const section_change& change) const
 {
     const replay_verdict refused{replay_result::rejected, change.change_id, version_, ""};
     auto with = [&](std::string explanation) {
--- a/lib/config/config_service.cpp
+++ b/lib/config/config_service.cpp
@@ -300,7 +300,7 @@
         settle_publishes();
         return;
     }
-    if (const auto refused = replay_.predict(found->second.change)) {
+    if (const auto refused = replay_.predict_rejection(found->second.change)) {
         answer(change_id, publish_verdict{false, replay_.version(), refused->explanation});
         return;
     }
