--- a/include/chestnutstand/config/change_replay.h
+++ b/include/chestnutstand/config/change_replay.h
@@ -131,7 +131,7 @@
     std::deque<recent_change> recent_;
     std::unordered_map<std::string, recent_change> recent_by_id_;
     /// Digests of earlier states, by which checkpoints that cover less are compared.
-    std::deque<known_state> known_states_;
+    std::deque<known_state> state_digests_;
 };
 
 /// The newest checkpoint among consecutive records of the log from which all later ones can be
--- a/lib/config/change_replay.cpp
+++ b/lib/config/change_replay.cpp
@@ -222,9 +222,9 @@
         return verdict;
     }
     const auto known =
-        std::find_if(known_states_.rbegin(), known_states_.rend(),
+        std::find_if(state_digests_.rbegin(), state_digests_.rend(),
                      [&](const auto& each) { return each.version <= version_of(covered); });
-    if (known == known_states_.rend()) {
+    if (known == state_digests_.rend()) {
         verdict.explanation = str_cat("the checkpoint is too old, it covers offset ", covered);
         return verdict;
     }
@@ -302,7 +302,7 @@
     version_ = checkpoint.version();
     next_offset_ = version_of(checkpoint.covered_offset());
     oldest_needed_offset_ = std::min(checkpoint.oldest_needed_offset(), next_offset_);
-    known_states_.clear();
+    state_digests_.clear();
     remember_state();
     return absl::OkStatus();
 }
@@ -381,7 +381,7 @@
     for (const auto& [name, each] : sections_) {
         add_section(compared, each);
     }
-    known_states_.push_back({version_, digest_of(compared)});
+    state_digests_.push_back({version_, digest_of(compared)});
 }
 
 void change_replay::forget_old()
@@ -391,8 +391,8 @@
         recent_.pop_front();
     }
     // The second oldest state makes the oldest dispensable once it is out of the window itself.
-    while (known_states_.size() > 1 && known_states_[1].version + replay_window < next_offset_) {
-        known_states_.pop_front();
+    while (state_digests_.size() > 1 && state_digests_[1].version + replay_window < next_offset_) {
+        state_digests_.pop_front();
     }
 }
 
