--- a/include/chestnutstand/config/change_replay.h
+++ b/include/chestnutstand/config/change_replay.h
@@ -119,7 +119,7 @@
     std::vector<section> sections_with(const section& changed) const;
     absl::Status check_adoptable(const wire::Checkpoint& checkpoint) const;
     bool recent_changes_match(const wire::Checkpoint& checkpoint) const;
-    void remember_state();
+    void record_state_digest();
     void forget_old();
     void remember(recent_change change);
 
--- a/lib/config/change_replay.cpp
+++ b/lib/config/change_replay.cpp
@@ -114,7 +114,7 @@
 
 change_replay::change_replay()
 {
-    remember_state();
+    record_state_digest();
 }
 
 replay_verdict change_replay::apply(std::uint64_t offset, const wire::ConfigRecord& record)
@@ -160,7 +160,7 @@
         version_ = changed.version;
         document_ = std::move(next);
         sections_[changed.name] = std::move(changed);
-        remember_state();
+        record_state_digest();
     }
     return verdict;
 }
@@ -303,7 +303,7 @@
     next_offset_ = version_of(checkpoint.covered_offset());
     oldest_needed_offset_ = std::min(checkpoint.oldest_needed_offset(), next_offset_);
     state_digests_.clear();
-    remember_state();
+    record_state_digest();
     return absl::OkStatus();
 }
 
@@ -374,7 +374,7 @@
     recent_.push_back(std::move(change));
 }
 
-void change_replay::remember_state()
+void change_replay::record_state_digest()
 {
     wire::Checkpoint compared;
     compared.set_version(version_);
