--- a/include/chestnutstand/config/change_replay.h
+++ b/include/chestnutstand/config/change_replay.h
@@ -120,7 +120,7 @@
     absl::Status check_adoptable(const wire::Checkpoint& checkpoint) const;
     bool recent_changes_match(const wire::Checkpoint& checkpoint) const;
     void record_state_digest();
-    void forget_old();
+    void trim_history();
     void remember(recent_change change);
 
     std::uint64_t next_offset_ = 0;
--- a/lib/config/change_replay.cpp
+++ b/lib/config/change_replay.cpp
@@ -132,7 +132,7 @@
         verdict = apply_checkpoint(offset, record.checkpoint());
     }
     ++next_offset_;
-    forget_old();
+    trim_history();
     verdict.version = version_;
     return verdict;
 }
@@ -384,7 +384,7 @@
     state_digests_.push_back({version_, digest_of(compared)});
 }
 
-void change_replay::forget_old()
+void change_replay::trim_history()
 {
     while (!recent_.empty() && recent_.front().offset + replay_window < next_offset_) {
         recent_by_id_.erase(recent_.front().change_id);
