--- a/include/chestnutstand/config/config_service.h
+++ b/include/chestnutstand/config/config_service.h
@@ -110,7 +110,7 @@
     void keep_record(std::uint64_t offset, const std::string& payload);
     void announce();
 
-    void forget_hint(const node_reference& peer);
+    void remove_hint(const node_reference& peer);
     void fetch();
     void finish_fetch(const peer_hint& asked, const absl::StatusOr<fetched_changes>& changes);
 
--- a/lib/config/config_service.cpp
+++ b/lib/config/config_service.cpp
@@ -218,7 +218,7 @@
     if (next_offset <= replay_.next_offset()) {
         return;
     }
-    forget_hint(peer);
+    remove_hint(peer);
     if (hints_.size() == max_hints) {
         hints_.erase(hints_.begin());
     }
@@ -228,7 +228,7 @@
     }
 }
 
-void config_service::forget_hint(const node_reference& peer)
+void config_service::remove_hint(const node_reference& peer)
 {
     hints_.erase(std::remove_if(hints_.begin(), hints_.end(),
                                 [&](const auto& each) { return each.peer == peer; }),
@@ -263,7 +263,7 @@
     }
     // A peer that did not help is not asked again for the same hint; gossip repeats hints.
     if (replay_.next_offset() == before) {
-        forget_hint(asked.peer);
+        remove_hint(asked.peer);
     }
     fetching_ = false;
     fetch();
