--- a/include/chestnutstand/config/config_service.h
+++ b/include/chestnutstand/config/config_service.h
@@ -117,7 +117,7 @@
     void append_change(const std::string& change_id, const absl::Status& caught_up);
     void finish_append(const std::string& change_id, const absl::StatusOr<std::uint64_t>& offset);
     void expire_publish(const std::string& change_id, std::uint64_t number);
-    void settle_publishes();
+    void complete_publishes();
     void answer(const std::string& change_id, const absl::StatusOr<publish_verdict>& verdict);
 
     config_options options_;
--- a/lib/config/config_service.cpp
+++ b/lib/config/config_service.cpp
@@ -182,7 +182,7 @@
     if (current_.load() != replay_.current()) {
         current_.store(replay_.current());
     }
-    settle_publishes();
+    complete_publishes();
     for (const auto& listener : listeners_) {
         listener(announced_offset_);
     }
@@ -297,7 +297,7 @@
         return;
     }
     if (replay_.find_recent(change_id)) {
-        settle_publishes();
+        complete_publishes();
         return;
     }
     if (const auto refused = replay_.predict_rejection(found->second.change)) {
@@ -339,7 +339,7 @@
                           "publish it again with change id ", change_id, " to learn the verdict")));
 }
 
-void config_service::settle_publishes()
+void config_service::complete_publishes()
 {
     std::vector<std::pair<std::string, publish_verdict>> settled;
     for (const auto& [change_id, waiting] : publishes_) {
