--- a/include/chestnutstand/config/config_service.h
+++ b/include/chestnutstand/config/config_service.h
@@ -102,7 +102,7 @@
     };
 
     void poll();
-    bool wants_log();
+    bool needs_log_read();
 
     void apply_page(const std::vector<log_record>& records);
     void apply_fetched(const fetched_changes& changes);
--- a/lib/config/config_service.cpp
+++ b/lib/config/config_service.cpp
@@ -83,7 +83,7 @@
 
 void config_service::poll()
 {
-    if (!tail_->reading() && wants_log()) {
+    if (!tail_->reading() && needs_log_read()) {
         tail_->catch_up([](const absl::Status&) {});
     }
     if (tailing_) {
@@ -91,7 +91,7 @@
     }
 }
 
-bool config_service::wants_log()
+bool config_service::needs_log_read()
 {
     if (tailing_ || !publishes_.empty()) {
         return true;
