--- a/lib/config/config_service.cpp
+++ b/lib/config/config_service.cpp
@@ -27,7 +27,7 @@
 // The others learn from them by gossip.
 constexpr std::size_t log_readers_per_data_centre = 2;
 
-absl::Status unpublished(const absl::Status& cause)
+absl::Status not_published_error(const absl::Status& cause)
 {
     return absl::UnavailableError(str_cat("the change was not published: ", cause.message()));
 }
@@ -293,7 +293,7 @@
         return;
     }
     if (!caught_up.ok()) {
-        answer(change_id, unpublished(caught_up));
+        answer(change_id, not_published_error(caught_up));
         return;
     }
     if (replay_.find_recent(change_id)) {
@@ -316,7 +316,7 @@
                                    const absl::StatusOr<std::uint64_t>& offset)
 {
     if (absl::IsUnavailable(offset.status())) {
-        answer(change_id, unpublished(offset.status()));
+        answer(change_id, not_published_error(offset.status()));
         return;
     }
     if (!offset.ok()) {
