--- a/include/chestnutstand/config/record_follower.h
+++ b/include/chestnutstand/config/record_follower.h
@@ -49,7 +49,7 @@
     void read();
     void finish_read(const absl::StatusOr<keyed_page>& page);
     void schedule_read(milliseconds delay);
-    void note_store(const absl::Status& status);
+    void update_store_state(const absl::Status& status);
     bool apply(const std::string& text, const char* source);
     void fetch();
     void finish_fetch(const node_reference& peer, const absl::StatusOr<fetched_changes>& changes);
--- a/lib/config/record_follower.cpp
+++ b/lib/config/record_follower.cpp
@@ -67,7 +67,7 @@
 void record_follower::finish_read(const absl::StatusOr<keyed_page>& page)
 {
     reading_ = false;
-    note_store(page.status());
+    update_store_state(page.status());
     if (!page.ok()) {
         // After a failure the offset may be gone; the newest record says all that matters.
         next_offset_.reset();
@@ -91,7 +91,7 @@
     loop_.post_after(delay, [this] { read(); });
 }
 
-void record_follower::note_store(const absl::Status& status)
+void record_follower::update_store_state(const absl::Status& status)
 {
     const bool reachable = status.ok() || absl::IsOutOfRange(status);
     if (reachable == store_reachable_) {
