--- a/include/chestnutstand/config/record_follower.h
+++ b/include/chestnutstand/config/record_follower.h
@@ -23,7 +23,7 @@
     milliseconds read_wait{20'000};
     milliseconds fetch_timeout{500};
     /// Pause after a failed read; doubled with each further failure up to the longest.
-    milliseconds first_pause{250};
+    milliseconds initial_backoff{250};
     milliseconds longest_pause{2'000};
 };
 
--- a/unittests/config/record_follower_test.cpp
+++ b/unittests/config/record_follower_test.cpp
@@ -75,7 +75,7 @@
     record_follower_test()
     {
         record_follower_options options;
-        options.first_pause = milliseconds{1};
+        options.initial_backoff = milliseconds{1};
         options.longest_pause = milliseconds{1};
         follower_ = std::make_unique<record_follower>(options, loop_, store_, peers_);
         loop_.post([this] {
