--- a/include/chestnutstand/config/record_follower.h
+++ b/include/chestnutstand/config/record_follower.h
@@ -24,7 +24,7 @@
     milliseconds fetch_timeout{500};
     /// Pause after a failed read; doubled with each further failure up to the longest.
     milliseconds initial_backoff{250};
-    milliseconds longest_pause{2'000};
+    milliseconds max_backoff{2'000};
 };
 
 /// Follows a document that its operator keeps whole in one record of the store: the newest record
--- a/unittests/config/record_follower_test.cpp
+++ b/unittests/config/record_follower_test.cpp
@@ -76,7 +76,7 @@
     {
         record_follower_options options;
         options.initial_backoff = milliseconds{1};
-        options.longest_pause = milliseconds{1};
+        options.max_backoff = milliseconds{1};
         follower_ = std::make_unique<record_follower>(options, loop_, store_, peers_);
         loop_.post([this] {
             follower_->set_tailing(true);
