--- a/include/chestnutstand/config/record_follower.h
+++ b/include/chestnutstand/config/record_follower.h
@@ -73,7 +73,7 @@
     bool reading_ = false;
     /// Offset of the next long read; nothing when the newest record has to be read first.
     std::optional<std::uint64_t> next_offset_;
-    milliseconds pause_{0};
+    milliseconds backoff_{0};
     bool store_reachable_ = true;
     /// From different peers, so that one that does not answer is not the only one.
     std::vector<peer_hint> hints_;
--- a/lib/config/record_follower.cpp
+++ b/lib/config/record_follower.cpp
@@ -71,13 +71,13 @@
     if (!page.ok()) {
         // After a failure the offset may be gone; the newest record says all that matters.
         next_offset_.reset();
-        pause_ = std::clamp(pause_ * 2.0, options_.initial_backoff, options_.max_backoff);
+        backoff_ = std::clamp(backoff_ * 2.0, options_.initial_backoff, options_.max_backoff);
         std::uniform_real_distribution<double> jitter{0.5, 1.0};
         const bool trimmed = absl::IsOutOfRange(page.status());
-        schedule_read(trimmed ? milliseconds{0} : pause_ * jitter(random_));
+        schedule_read(trimmed ? milliseconds{0} : backoff_ * jitter(random_));
         return;
     }
-    pause_ = milliseconds{0};
+    backoff_ = milliseconds{0};
     peers_failed_ = false;
     next_offset_ = page->next;
     for (const auto& record : page->records) {
