--- a/lib/config/checkpoint_writer.cpp
+++ b/lib/config/checkpoint_writer.cpp
@@ -84,11 +84,11 @@
     const std::uint64_t oldest = replay_.oldest_needed_offset();
     busy_ = true;
     log_.read(config_stream, oldest, 1, [this, oldest](absl::StatusOr<log_page> page) {
-        loop_.post([this, oldest, page = std::move(page)] { on_age(oldest, page); });
+        loop_.post([this, oldest, page = std::move(page)] { finish_age_check(oldest, page); });
     });
 }
 
-void checkpoint_writer::on_age(std::uint64_t offset, const absl::StatusOr<log_page>& page)
+void checkpoint_writer::finish_age_check(std::uint64_t offset, const absl::StatusOr<log_page>& page)
 {
     busy_ = false;
     if (!page.ok()) {
--- a/lib/config/checkpoint_writer.h
+++ b/lib/config/checkpoint_writer.h
@@ -22,7 +22,7 @@
     bool is_due() const;
     milliseconds wait() const;
     void check_age(time_point now);
-    void on_age(std::uint64_t offset, const absl::StatusOr<log_page>& page);
+    void finish_age_check(std::uint64_t offset, const absl::StatusOr<log_page>& page);
     void write(std::uint64_t due_offset, const absl::Status& caught_up);
 
     const config_options& options_;
