--- a/lib/config/checkpoint_writer.cpp
+++ b/lib/config/checkpoint_writer.cpp
@@ -61,7 +61,7 @@
 bool checkpoint_writer::is_due() const
 {
     const std::uint64_t oldest = replay_.oldest_needed_offset();
-    return replay_.next_offset() - oldest >= options_.checkpoint_records || old_record_ == oldest;
+    return replay_.next_offset() - oldest >= options_.checkpoint_records || aged_offset_ == oldest;
 }
 
 milliseconds checkpoint_writer::wait() const
@@ -98,7 +98,7 @@
     const bool old = !page->records.empty() &&
                      page->records.front().age >= options_.log_retention * due_age_share;
     if (expired || old) {
-        old_record_ = offset;
+        aged_offset_ = offset;
     }
 }
 
--- a/lib/config/checkpoint_writer.h
+++ b/lib/config/checkpoint_writer.h
@@ -31,7 +31,7 @@
     const change_replay& replay_;
     log_tail& tail_;
     /// Oldest needed record that was found to be old.
-    std::optional<std::uint64_t> old_record_;
+    std::optional<std::uint64_t> aged_offset_;
     std::optional<time_point> write_at_;
     std::optional<time_point> next_age_check_;
     bool busy_ = false;
