--- a/include/chestnutstand/config/document_parser.h
+++ b/include/chestnutstand/config/document_parser.h
@@ -50,7 +50,7 @@
 absl::StatusOr<document> parse_document(const std::vector<section>& sections);
 
 /// Name of the priority class that a record's routes of one rank and latency target share.
-std::string class_of(const route& leading);
+std::string class_name_of(const route& leading);
 
 /// What the names of all classes of one rank begin with.
 std::string rank_prefix(std::uint32_t rank);
--- a/lib/config/document_parser.cpp
+++ b/lib/config/document_parser.cpp
@@ -187,7 +187,7 @@
 /// Gives a service one class for each rank and latency target of the routes that lead to it.
 void add_class(service_config& service, const route& leading)
 {
-    const std::string name = class_of(leading);
+    const std::string name = class_name_of(leading);
     if (service.find_priority(name) == nullptr) {
         service.priorities.push_back(
             {name, leading.latency_target, 1.0, leading.idempotent, leading.rank});
@@ -291,7 +291,7 @@
     return result;
 }
 
-std::string class_of(const route& leading)
+std::string class_name_of(const route& leading)
 {
     return str_cat(rank_prefix(leading.rank), leading.latency_target.count());
 }
--- a/unittests/config/document_test.cpp
+++ b/unittests/config/document_test.cpp
@@ -89,7 +89,7 @@
     ASSERT_TRUE(read.ok()) << read.status();
     const auto& ledger = *read->find_service("ledger");
     ASSERT_EQ(ledger.priorities.size(), 3U);
-    const auto* viewing = ledger.find_priority(class_of(read->routes[1]));
+    const auto* viewing = ledger.find_priority(class_name_of(read->routes[1]));
     ASSERT_NE(viewing, nullptr);
     EXPECT_EQ(viewing->latency_target, milliseconds{100});
     EXPECT_EQ(viewing->rank, 1U);
--- a/unittests/node/routed_call_test.cpp
+++ b/unittests/node/routed_call_test.cpp
@@ -80,7 +80,7 @@
 {
     const service_call view = parsed("/view/1?q", {{"Request-Id", "r1"}, {"Deadline-Ms", "2500"}});
     EXPECT_EQ(view.service, "ledger");
-    EXPECT_EQ(view.priority, class_of(document_.routes.front()));
+    EXPECT_EQ(view.priority, class_name_of(document_.routes.front()));
     EXPECT_EQ(view.repeat, repeatability::repeatable);
     EXPECT_EQ(view.retry_budget, 2U);
     EXPECT_EQ(view.request_id, "r1");
