--- a/include/chestnutstand/config/record_follower.h
+++ b/include/chestnutstand/config/record_follower.h
@@ -79,7 +79,7 @@
     std::vector<peer_hint> hints_;
     bool fetching_ = false;
     /// A peer that has a newer document could not be asked for it; the store is read instead.
-    bool peers_failed_ = false;
+    bool peer_fetch_failed_ = false;
 };
 
 } // namespace chestnutstand
--- a/lib/config/record_follower.cpp
+++ b/lib/config/record_follower.cpp
@@ -49,7 +49,7 @@
 
 void record_follower::read()
 {
-    const bool needed = tailing_ || version_ == 0 || peers_failed_;
+    const bool needed = tailing_ || version_ == 0 || peer_fetch_failed_;
     if (reading_ || !needed) {
         return;
     }
@@ -78,7 +78,7 @@
         return;
     }
     backoff_ = milliseconds{0};
-    peers_failed_ = false;
+    peer_fetch_failed_ = false;
     next_offset_ = page->next;
     for (const auto& record : page->records) {
         apply(record.value, "store");
@@ -169,7 +169,7 @@
     if (!changes.ok()) {
         log_event(log_level::warning, "document not fetched from a peer",
                   {{"peer", peer.address}, {"reason", changes.status().ToString()}});
-        peers_failed_ = true;
+        peer_fetch_failed_ = true;
         read();
     }
     else {
