--- a/unittests/config/change_replay_test.cpp
+++ b/unittests/config/change_replay_test.cpp
@@ -44,7 +44,7 @@
 }
 
 /// All that must agree among replicas, as text.
-std::string image_of(const change_replay& replay)
+std::string state_text_of(const change_replay& replay)
 {
     if (replay.next_offset() == 0) {
         return "";
@@ -199,7 +199,7 @@
 {
     EXPECT_TRUE(rc::check([] {
         const auto log = random_log();
-        const auto expected = image_of(log.first);
+        const auto expected = state_text_of(log.first);
 
         change_replay in_chunks;
         while (in_chunks.next_offset() < log.records.size()) {
@@ -212,12 +212,12 @@
             }
             in_chunks.apply(end + 1, log.records.front());
         }
-        RC_ASSERT(image_of(in_chunks) == expected);
+        RC_ASSERT(state_text_of(in_chunks) == expected);
 
         change_replay from_peer;
         RC_ASSERT(from_peer.adopt(pick_from(log.states)).ok());
         replay_from(from_peer, log);
-        RC_ASSERT(image_of(from_peer) == expected);
+        RC_ASSERT(state_text_of(from_peer) == expected);
     }));
 }
 
@@ -246,7 +246,7 @@
         change_replay replay;
         RC_ASSERT(replay.adopt(*checkpoint).ok());
         replay_from(replay, log);
-        RC_ASSERT(image_of(replay) == image_of(log.first));
+        RC_ASSERT(state_text_of(replay) == state_text_of(log.first));
     }));
 }
 
