--- a/include/chestnutstand/config/record_follower.h
+++ b/include/chestnutstand/config/record_follower.h
@@ -67,7 +67,7 @@
     snapshot<document> current_;
     std::uint64_t version_ = 0;
     /// The record that made the document in force, for peers.
-    std::string text_;
+    std::string record_text_;
     std::vector<std::function<void(std::uint64_t)>> listeners_;
     bool tailing_ = false;
     bool reading_ = false;
--- a/lib/config/record_follower.cpp
+++ b/lib/config/record_follower.cpp
@@ -118,7 +118,7 @@
         return false;
     }
     version_ = parsed->version;
-    text_ = text;
+    record_text_ = text;
     const std::size_t routes = parsed->routes.size();
     current_.store(std::make_shared<const document>(*std::move(parsed)));
     log_event(log_level::info, "document in force",
@@ -184,7 +184,7 @@
 {
     fetched_changes reply;
     if (position < version_) {
-        reply.records.push_back({version_, text_});
+        reply.records.push_back({version_, record_text_});
     }
     return reply;
 }
