--- a/lib/config/document_parser.cpp
+++ b/lib/config/document_parser.cpp
@@ -139,7 +139,7 @@
     return keys;
 }
 
-absl::Status check_targets(const route& checked, const document& whole)
+absl::Status check_route_services(const route& checked, const document& whole)
 {
     std::vector<std::string_view> services;
     double weights = 0.0;
@@ -169,7 +169,7 @@
 {
     std::set<std::pair<std::string_view, std::string_view>> seen;
     for (const auto& each : whole.routes) {
-        if (auto status = check_targets(each, whole); !status.ok()) {
+        if (auto status = check_route_services(each, whole); !status.ok()) {
             return status;
         }
         if (!seen.emplace(each.host, each.path_prefix).second) {
