--- a/include/chestnutstand/config/change_replay.h
+++ b/include/chestnutstand/config/change_replay.h
@@ -121,7 +121,7 @@
     bool recent_changes_match(const wire::Checkpoint& checkpoint) const;
     void record_state_digest();
     void trim_history();
-    void remember(recent_change change);
+    void add_recent_change(recent_change change);
 
     std::uint64_t next_offset_ = 0;
     std::uint64_t version_ = 0;
--- a/lib/config/change_replay.cpp
+++ b/lib/config/change_replay.cpp
@@ -155,7 +155,7 @@
     verdict.explanation = check_change(offset, change, changed, next);
     const bool accepted = verdict.explanation.empty();
     verdict.result = accepted ? replay_result::accepted : replay_result::rejected;
-    remember({change.change_id(), offset, accepted});
+    add_recent_change({change.change_id(), offset, accepted});
     if (accepted) {
         version_ = changed.version;
         document_ = std::move(next);
@@ -297,7 +297,7 @@
     recent_.clear();
     recent_by_id_.clear();
     for (const auto& each : checkpoint.recent_changes()) {
-        remember(to_recent(each));
+        add_recent_change(to_recent(each));
     }
     version_ = checkpoint.version();
     next_offset_ = version_of(checkpoint.covered_offset());
@@ -368,7 +368,7 @@
     return result;
 }
 
-void change_replay::remember(recent_change change)
+void change_replay::add_recent_change(recent_change change)
 {
     recent_by_id_[change.change_id] = change;
     recent_.push_back(std::move(change));
--- a/lib/node/components/executor_component.cpp
+++ b/lib/node/components/executor_component.cpp
@@ -25,7 +25,8 @@
     absl::Status start(kernel& node) override
     {
         key_table_limits limits;
-        // A candidate must remember a key for longer than the owner of the key may ask about it.
+        // A candidate must add_recent_change a key for longer than the owner of the key may ask
+        // about it.
         limits.lifetime += extra_key_lifetime;
         keys_ =
             std::make_unique<executor_keys>(node.instance(), node.config().cluster_secret, limits);
