--- a/lib/config/change_replay.cpp
+++ b/lib/config/change_replay.cpp
@@ -46,7 +46,7 @@
     return {digest.begin(), digest.end()};
 }
 
-recent_change to_recent(const wire::RecentChange& change)
+recent_change to_recent_change(const wire::RecentChange& change)
 {
     return {change.change_id(), change.offset(), change.accepted()};
 }
@@ -246,7 +246,7 @@
     std::vector<recent_change> theirs;
     for (const auto& each : checkpoint.recent_changes()) {
         if (each.offset() >= oldest) {
-            theirs.push_back(to_recent(each));
+            theirs.push_back(to_recent_change(each));
         }
     }
     std::vector<recent_change> ours;
@@ -297,7 +297,7 @@
     recent_.clear();
     recent_by_id_.clear();
     for (const auto& each : checkpoint.recent_changes()) {
-        add_recent_change(to_recent(each));
+        add_recent_change(to_recent_change(each));
     }
     version_ = checkpoint.version();
     next_offset_ = version_of(checkpoint.covered_offset());
