--- a/lib/config/settings_watch.cpp
+++ b/lib/config/settings_watch.cpp
@@ -10,7 +10,7 @@
 namespace chestnutstand {
 namespace {
 
-nlohmann::json keys_of(const std::string& text)
+nlohmann::json parse_object_or_empty(const std::string& text)
 {
     auto parsed = parse_json(text, "settings");
     return parsed.ok() && parsed->is_object() ? *std::move(parsed) : nlohmann::json::object();
@@ -20,8 +20,8 @@
 
 std::vector<std::string> changed_settings(const std::string& before, const std::string& after)
 {
-    const nlohmann::json old_values = keys_of(before);
-    const nlohmann::json new_values = keys_of(after);
+    const nlohmann::json old_values = parse_object_or_empty(before);
+    const nlohmann::json new_values = parse_object_or_empty(after);
     std::vector<std::string> changed;
     for (const auto& [key, value] : new_values.items()) {
         const auto found = old_values.find(key);
