--- a/lib/config/json_text.cpp
+++ b/lib/config/json_text.cpp
@@ -23,14 +23,15 @@
         switch (event) {
         case json::parse_event_t::object_start:
         case json::parse_event_t::array_start:
-            open_.push_back({here(), event == json::parse_event_t::array_start, 0, {}, {}});
+            open_containers_.push_back(
+                {here(), event == json::parse_event_t::array_start, 0, {}, {}});
             break;
         case json::parse_event_t::key:
             add_key(parsed.get<std::string>());
             break;
         case json::parse_event_t::object_end:
         case json::parse_event_t::array_end:
-            open_.pop_back();
+            open_containers_.pop_back();
             end_value();
             break;
         case json::parse_event_t::value:
@@ -53,16 +54,16 @@
 
     json_location here() const
     {
-        if (open_.empty()) {
+        if (open_containers_.empty()) {
             return top_;
         }
-        const auto& inner = open_.back();
+        const auto& inner = open_containers_.back();
         return inner.is_array ? inner.at.element(inner.index) : inner.at.key(inner.key);
     }
 
     void add_key(const std::string& name)
     {
-        auto& object = open_.back();
+        auto& object = open_containers_.back();
         object.key = name;
         if (!object.keys.insert(name).second && status_.ok()) {
             status_ = invalid_value(here(), "expected the key only once");
@@ -71,13 +72,13 @@
 
     void end_value()
     {
-        if (!open_.empty() && open_.back().is_array) {
-            ++open_.back().index;
+        if (!open_containers_.empty() && open_containers_.back().is_array) {
+            ++open_containers_.back().index;
         }
     }
 
     json_location top_;
-    std::vector<container> open_;
+    std::vector<container> open_containers_;
     absl::Status status_;
 };
 
