--- a/lib/config/log_tail.cpp
+++ b/lib/config/log_tail.cpp
@@ -36,7 +36,7 @@
 };
 
 log_tail::log_tail(control_loop& loop, log_client& log, target to)
-    : loop_{loop}, log_{log}, to_{std::move(to)}, limit_{max_page_records}
+    : loop_{loop}, log_{log}, sink_{std::move(to)}, limit_{max_page_records}
 {
 }
 
@@ -58,7 +58,7 @@
 
 void log_tail::read_next()
 {
-    log_.read(config_stream, to_.next_offset(), limit_, [this](absl::StatusOr<log_page> page) {
+    log_.read(config_stream, sink_.next_offset(), limit_, [this](absl::StatusOr<log_page> page) {
         loop_.post([this, page = std::move(page)] { on_page(page); });
     });
 }
@@ -69,19 +69,19 @@
         on_error(page.status());
         return;
     }
-    const std::uint64_t next = to_.next_offset();
+    const std::uint64_t next = sink_.next_offset();
     const bool gap = page->first > next;
     const bool long_log = next == 0 && page->next > first_search_distance;
     if (gap || (long_log && !search_)) {
         begin_search(*page);
         return;
     }
-    to_.apply(page->records);
-    if (to_.next_offset() >= page->next) {
+    sink_.apply(page->records);
+    if (sink_.next_offset() >= page->next) {
         finish(absl::OkStatus());
         return;
     }
-    if (to_.next_offset() == next) {
+    if (sink_.next_offset() == next) {
         finish(absl::UnknownError(str_cat("the log has no record at offset ", next)));
         return;
     }
@@ -135,7 +135,7 @@
 {
     const auto* found = find_usable_checkpoint(search_->first, search_->records);
     if (found != nullptr) {
-        if (auto status = to_.adopt(*found); !status.ok()) {
+        if (auto status = sink_.adopt(*found); !status.ok()) {
             on_error(status);
             return;
         }
@@ -149,10 +149,10 @@
         read_search();
         return;
     }
-    if (search_->oldest_retained > to_.next_offset()) {
+    if (search_->oldest_retained > sink_.next_offset()) {
         on_error(absl::NotFoundError(
             str_cat("the log starts at offset ", search_->oldest_retained,
-                    " and has no usable checkpoint, expected records from ", to_.next_offset())));
+                    " and has no usable checkpoint, expected records from ", sink_.next_offset())));
         return;
     }
     // The log is whole but has no checkpoint; the search object marks that it was searched.
--- a/lib/config/log_tail.h
+++ b/lib/config/log_tail.h
@@ -50,7 +50,7 @@
 
     control_loop& loop_;
     log_client& log_;
-    target to_;
+    target sink_;
     std::vector<caught_up> waiting_;
     std::vector<caught_up> active_;
     std::shared_ptr<checkpoint_search> search_;
