--- a/lib/config/document_parser.cpp
+++ b/lib/config/document_parser.cpp
@@ -185,7 +185,7 @@
 constexpr double record_slot_share = 0.8;
 
 /// Gives a service one class for each rank and latency target of the routes that lead to it.
-void add_class(service_config& service, const route& leading)
+void add_priority_class(service_config& service, const route& leading)
 {
     const std::string name = class_name_of(leading);
     if (service.find_priority(name) == nullptr) {
@@ -206,7 +206,7 @@
                 std::any_of(each.split.begin(), each.split.end(),
                             [&](const auto& part) { return part.service == service.name; });
             if (leads) {
-                add_class(service, each);
+                add_priority_class(service, each);
             }
         }
     }
