--- a/lib/config/document_parser.cpp
+++ b/lib/config/document_parser.cpp
@@ -194,7 +194,7 @@
     }
 }
 
-void derive_classes(document& whole)
+void derive_priority_classes(document& whole)
 {
     for (auto& service : whole.services) {
         service.slot_share = record_slot_share;
@@ -317,7 +317,7 @@
     if (auto status = check_routes(result); !status.ok()) {
         return status;
     }
-    derive_classes(result);
+    derive_priority_classes(result);
     result.index_routes();
     return result;
 }
