--- a/unittests/config/change_replay_test.cpp
+++ b/unittests/config/change_replay_test.cpp
@@ -251,7 +251,7 @@
 }
 
 // Guards against versions that fall, and against any record or checkpoint that makes them fall.
-TEST(change_replay, versions_never_fall)
+TEST(change_replay, versions_never_decrease)
 {
     EXPECT_TRUE(rc::check([] {
         const auto log = random_log();
