--- a/unittests/config/config_service_test.cpp
+++ b/unittests/config/config_service_test.cpp
@@ -121,7 +121,7 @@
 }
 
 // Guards against appends for changes that cannot be accepted.
-TEST_F(config_service_test, certain_refusals_are_not_appended)
+TEST_F(config_service_test, predictable_rejections_are_not_appended)
 {
     const auto publisher = make_node(1);
     EXPECT_TRUE(must_answer(publisher->publish(change("c1", "a", 0))).accepted);
