--- a/include/chestnutstand/transport/headers.h
+++ b/include/chestnutstand/transport/headers.h
@@ -47,7 +47,7 @@
 bool header_name_equal(std::string_view left, std::string_view right);
 
 /// Text without the blanks and line ends around it.
-std::string_view trim_blanks(std::string_view text);
+std::string_view trim_whitespace(std::string_view text);
 
 /// Value of the first header with that name.
 std::optional<std::string_view> find_header(const std::vector<http_header>& headers,
--- a/lib/transport/curl_client.cpp
+++ b/lib/transport/curl_client.cpp
@@ -96,7 +96,7 @@
         return line.size();
     }
     http_header field{std::string{line.substr(0, colon)},
-                      std::string{trim_blanks(line.substr(colon + 1))}};
+                      std::string{trim_whitespace(line.substr(colon + 1))}};
     if (header_name_equal(field.name, "transfer-encoding") &&
         header_name_equal(field.value, "chunked")) {
         self.chunked = true;
--- a/lib/transport/headers.cpp
+++ b/lib/transport/headers.cpp
@@ -50,7 +50,7 @@
     return absl::EqualsIgnoreCase(to_absl(left), to_absl(right));
 }
 
-std::string_view trim_blanks(std::string_view text)
+std::string_view trim_whitespace(std::string_view text)
 {
     constexpr std::string_view blanks = " \t\r\n";
     const auto first = text.find_first_not_of(blanks);
--- a/lib/transport/request_framer.cpp
+++ b/lib/transport/request_framer.cpp
@@ -102,7 +102,7 @@
     if (colon == std::string_view::npos || !is_token(name)) {
         return malformed("a header line must be NAME: VALUE");
     }
-    const std::string_view value = trim_blanks(line.substr(colon + 1));
+    const std::string_view value = trim_whitespace(line.substr(colon + 1));
     if (!is_field_value(value)) {
         return malformed(absl::StrCat("header ", std::string{name}, " has a control character"));
     }
@@ -125,7 +125,7 @@
         }
         const std::vector<std::string> options = absl::StrSplit(field.value, ',');
         return std::any_of(options.begin(), options.end(), [](const std::string& option) {
-            return header_name_equal(trim_blanks(option), "close");
+            return header_name_equal(trim_whitespace(option), "close");
         });
     });
 }
