--- a/include/chestnutstand/transport/headers.h
+++ b/include/chestnutstand/transport/headers.h
@@ -58,7 +58,7 @@
 void remove_hop_by_hop_headers(std::vector<http_header>& headers);
 
 /// Removes the headers that only chestnutstand sets, under the names of the deployment.
-void remove_own_headers(std::vector<http_header>& headers, const header_names& names = {});
+void remove_reserved_headers(std::vector<http_header>& headers, const header_names& names = {});
 
 /// Replaces all headers of a name by one with the given value.
 void set_header(std::vector<http_header>& headers, std::string_view name, std::string value);
--- a/lib/node/call_parser.cpp
+++ b/lib/node/call_parser.cpp
@@ -125,7 +125,7 @@
     }
     result.request.headers = request.headers;
     remove_hop_by_hop_headers(result.request.headers);
-    remove_own_headers(result.request.headers);
+    remove_reserved_headers(result.request.headers);
     std::erase_if(result.request.headers,
                   [](const auto& field) { return header_name_equal(field.name, "host"); });
     result.request.body = request.body;
@@ -161,7 +161,7 @@
     result.request_id = std::string{find_header(request.headers, names.request_id).value_or("")};
     result.request = request;
     remove_hop_by_hop_headers(result.request.headers);
-    remove_own_headers(result.request.headers, names);
+    remove_reserved_headers(result.request.headers, names);
     return result;
 }
 
--- a/lib/node/upstream_exchange.cpp
+++ b/lib/node/upstream_exchange.cpp
@@ -123,7 +123,7 @@
     }
     remove_hop_by_hop_headers(result.response.headers);
     if (!is_routed(call)) {
-        remove_own_headers(result.response.headers);
+        remove_reserved_headers(result.response.headers);
     }
     return {call_outcome::completed, reason_code::none, std::move(result.response), {}};
 }
--- a/lib/transport/headers.cpp
+++ b/lib/transport/headers.cpp
@@ -79,7 +79,7 @@
     });
 }
 
-void remove_own_headers(std::vector<http_header>& headers, const header_names& names)
+void remove_reserved_headers(std::vector<http_header>& headers, const header_names& names)
 {
     const std::array<std::string_view, 7> own{
         names.request_id,  names.timeout_ms,     names.idempotency_key, names.not_run,
