--- a/lib/transport/grpc_peer_client.cpp
+++ b/lib/transport/grpc_peer_client.cpp
@@ -37,7 +37,7 @@
 
 /// Turns a failed forward into owner_unreachable, because it says nothing about earlier copies of
 /// the call.
-call_done without_proof(call_done done)
+call_done map_to_owner_unreachable(call_done done)
 {
     return [done = std::move(done)](call_result result) {
         const bool no_reply = !result.load && (result.reason == reason_code::peer_unreachable ||
@@ -88,7 +88,7 @@
         state->request.set_target_instance(owner.instance);
         state->request.set_query_only(query_only);
         *state->request.mutable_call() = to_wire(call);
-        start_call(owner, call, state, without_proof(std::move(done)),
+        start_call(owner, call, state, map_to_owner_unreachable(std::move(done)),
                    [](auto* stub, auto& call_state, auto on_end) {
                        stub->async()->Forward(&call_state.context, &call_state.request,
                                               &call_state.reply, on_end);
--- a/lib/transport/http_peer_client.cpp
+++ b/lib/transport/http_peer_client.cpp
@@ -55,7 +55,7 @@
 }
 
 /// A failed connection proves nothing when an earlier copy of the call may have run.
-call_result without_proof(call_result result)
+call_result map_to_owner_unreachable(call_result result)
 {
     const bool no_reply = !result.load && (result.reason == reason_code::peer_unreachable ||
                                            result.reason == reason_code::peer_connection_lost);
@@ -84,7 +84,7 @@
         *request.mutable_call() = to_wire(call);
         send_call(owner, node_path::forward, request, call,
                   [done = std::move(done)](const http_result& result) {
-                      done(without_proof(result_of(result)));
+                      done(map_to_owner_unreachable(result_of(result)));
                   });
     }
 
