--- a/lib/transport/curl_client.cpp
+++ b/lib/transport/curl_client.cpp
@@ -243,7 +243,7 @@
     void wake();
     CURL* take_handle();
     void keep_handle(CURL* handle);
-    bool take_orders();
+    bool process_commands();
     bool has_orders();
     void add(std::unique_ptr<transfer> next);
     void finish_completed();
@@ -347,7 +347,7 @@
 void curl_client::run()
 {
     client_of_this_thread = this;
-    while (take_orders()) {
+    while (process_commands()) {
         int active = 0;
         curl_multi_perform(multi_, &active);
         finish_completed();
@@ -359,7 +359,7 @@
     cancel_all();
 }
 
-bool curl_client::take_orders()
+bool curl_client::process_commands()
 {
     std::vector<std::unique_ptr<transfer>> added;
     std::vector<request_id> cancelled;
