--- a/lib/transport/curl_client.cpp
+++ b/lib/transport/curl_client.cpp
@@ -244,7 +244,7 @@
     CURL* take_handle();
     void keep_handle(CURL* handle);
     bool process_commands();
-    bool has_orders();
+    bool has_commands();
     void add(std::unique_ptr<transfer> next);
     void finish_completed();
     void finish(request_id id, http_error error);
@@ -351,7 +351,7 @@
         int active = 0;
         curl_multi_perform(multi_, &active);
         finish_completed();
-        if (has_orders()) {
+        if (has_commands()) {
             continue;
         }
         curl_multi_poll(multi_, nullptr, 0, poll_timeout_ms, nullptr);
@@ -379,7 +379,7 @@
     return !stopping;
 }
 
-bool curl_client::has_orders()
+bool curl_client::has_commands()
 {
     const std::lock_guard lock{mutex_};
     return !added_.empty() || !cancelled_.empty() || stopping_;
