--- a/lib/transport/curl_client.cpp
+++ b/lib/transport/curl_client.cpp
@@ -242,7 +242,7 @@
     void run();
     void wake();
     CURL* take_handle();
-    void keep_handle(CURL* handle);
+    void release_handle(CURL* handle);
     bool process_commands();
     bool has_commands();
     void add(std::unique_ptr<transfer> next);
@@ -331,7 +331,7 @@
     return curl_easy_init();
 }
 
-void curl_client::keep_handle(CURL* handle)
+void curl_client::release_handle(CURL* handle)
 {
     curl_easy_reset(handle);
     {
@@ -420,7 +420,7 @@
     // Removing a handle in mid-transfer closes its connection, so a late response cannot be taken
     // for the response of another request.
     curl_multi_remove_handle(multi_, ended->handle);
-    keep_handle(std::exchange(ended->handle, nullptr));
+    release_handle(std::exchange(ended->handle, nullptr));
     ended->result.error = error;
     ended->result.elapsed = ms_clock::now() - ended->started;
     ended->done(std::move(ended->result));
