--- a/lib/transport/curl_client.cpp
+++ b/lib/transport/curl_client.cpp
@@ -216,7 +216,7 @@
         next->done = std::move(done);
         next->max_response_bytes = max_response_bytes_;
         next->started = ms_clock::now();
-        next->handle = take_handle();
+        next->handle = acquire_handle();
         configure(*next, base_url, timeout);
         request_id id = 0;
         {
@@ -241,7 +241,7 @@
     static void configure(transfer& next, const std::string& base_url, milliseconds timeout);
     void run();
     void wake();
-    CURL* take_handle();
+    CURL* acquire_handle();
     void release_handle(CURL* handle);
     bool process_commands();
     bool has_commands();
@@ -318,7 +318,7 @@
     }
 }
 
-CURL* curl_client::take_handle()
+CURL* curl_client::acquire_handle()
 {
     {
         const std::lock_guard lock{mutex_};
