--- a/lib/transport/curl_client.cpp
+++ b/lib/transport/curl_client.cpp
@@ -59,7 +59,7 @@
 };
 
 /// Whether the response names the request that it answers.
-bool answers_its_request(const transfer& received)
+bool response_matches_request(const transfer& received)
 {
     const auto& name = received.request.echoed_header;
     return name.empty() || find_header(received.result.response.headers, name) ==
@@ -86,7 +86,7 @@
     }
     if (line == "\r\n" || line == "\n") {
         self.headers_complete = true;
-        if (!self.interim && !answers_its_request(self)) {
+        if (!self.interim && !response_matches_request(self)) {
             curl_easy_setopt(self.handle, CURLOPT_FORBID_REUSE, 1L);
         }
         return line.size();
