--- a/lib/transport/curl_client.cpp
+++ b/lib/transport/curl_client.cpp
@@ -22,7 +22,7 @@
 // Middleboxes forget idle connections; an old pooled connection may swallow a request.
 constexpr long max_idle_seconds = 10;
 // Several retransmissions within a data centre and one across regions.
-constexpr unsigned unacknowledged_limit_ms = 750;
+constexpr unsigned tcp_user_timeout_ms = 750;
 constexpr int keepalive_seconds = 2;
 constexpr long max_pooled_connections = 256;
 /// A handle takes a few kilobytes; more transfers than this rarely run at once.
@@ -134,8 +134,8 @@
 int on_socket(void* /*user*/, curl_socket_t socket, curlsocktype /*purpose*/)
 {
     const int on = 1;
-    ::setsockopt(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacknowledged_limit_ms,
-                 sizeof unacknowledged_limit_ms);
+    ::setsockopt(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &tcp_user_timeout_ms,
+                 sizeof tcp_user_timeout_ms);
     ::setsockopt(socket, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
     ::setsockopt(socket, IPPROTO_TCP, TCP_KEEPIDLE, &keepalive_seconds, sizeof keepalive_seconds);
     ::setsockopt(socket, IPPROTO_TCP, TCP_KEEPINTVL, &keepalive_seconds, sizeof keepalive_seconds);
