--- a/lib/transport/grpc_peer_client.cpp
+++ b/lib/transport/grpc_peer_client.cpp
@@ -180,7 +180,7 @@
 
 // gRPC gives this message only when no connection existed to send the request on. With any other
 // error the request may have reached the peer.
-constexpr std::string_view never_connected = "failed to connect to all addresses";
+constexpr std::string_view connect_failed_message = "failed to connect to all addresses";
 
 call_result result_of(const grpc::Status& status, const wire::ExecuteReply& reply)
 {
@@ -188,7 +188,7 @@
         return from_wire(reply);
     }
     if (status.error_code() == grpc::StatusCode::UNAVAILABLE &&
-        status.error_message().rfind(never_connected, 0) == 0) {
+        status.error_message().rfind(connect_failed_message, 0) == 0) {
         return not_run(reason_code::peer_unreachable);
     }
     return unknown_outcome(reason_code::peer_connection_lost);
