--- a/lib/transport/http_node_server.cpp
+++ b/lib/transport/http_node_server.cpp
@@ -40,7 +40,7 @@
     };
 }
 
-call_done call_replier(const responder_ptr& response)
+call_done make_call_reply_callback(const responder_ptr& response)
 {
     return [response](const call_result& result) { reply_with(*response, to_wire(result)); };
 }
@@ -99,7 +99,7 @@
         wire::ExecuteRequest message;
         if (read(request, response, message)) {
             handler_.execute(message.target_instance(), read_call(message.call(), response),
-                             call_replier(response));
+                             make_call_reply_callback(response));
         }
     }
 
@@ -108,7 +108,7 @@
         wire::ForwardRequest message;
         if (read(request, response, message)) {
             handler_.forward(message.target_instance(), read_call(message.call(), response),
-                             message.query_only(), call_replier(response));
+                             message.query_only(), make_call_reply_callback(response));
         }
     }
 
