--- a/lib/transport/http_node_server.cpp
+++ b/lib/transport/http_node_server.cpp
@@ -29,7 +29,7 @@
 
 /// Callback of a query, whose result is a value or an error.
 template <typename Value>
-auto replier(const responder_ptr& response)
+auto make_reply_callback(const responder_ptr& response)
 {
     return [response](const absl::StatusOr<Value>& value) {
         if (value.ok()) {
@@ -116,7 +116,7 @@
     {
         wire::SettleRequest message;
         if (read(request, response, message)) {
-            replier<settle_result>(response)(
+            make_reply_callback<settle_result>(response)(
                 handler_.settle(message.target_instance(), message.idempotency_key()));
         }
     }
@@ -125,7 +125,8 @@
     {
         wire::FetchChangesRequest message;
         if (read(request, response, message)) {
-            handler_.fetch_changes(message.from_offset(), replier<fetched_changes>(response));
+            handler_.fetch_changes(message.from_offset(),
+                                   make_reply_callback<fetched_changes>(response));
         }
     }
 
@@ -134,7 +135,7 @@
         wire::SyncMembersMessage message;
         if (read(request, response, message)) {
             handler_.sync_members({message.members().begin(), message.members().end()},
-                                  replier<std::vector<std::string>>(response));
+                                  make_reply_callback<std::vector<std::string>>(response));
         }
     }
 
