--- a/lib/transport/http_node_server.cpp
+++ b/lib/transport/http_node_server.cpp
@@ -53,9 +53,9 @@
 }
 
 /// Hands requests of other nodes to the handler.
-class node_calls {
+class node_request_router {
 public:
-    explicit node_calls(node_handler& handler) : handler_{handler} {}
+    explicit node_request_router(node_handler& handler) : handler_{handler} {}
 
     void handle(const http_request& request, const responder_ptr& response)
     {
@@ -168,7 +168,7 @@
         return made;
     }
 
-    node_calls calls_;
+    node_request_router calls_;
     http_server server_;
 };
 
