--- a/lib/transport/server_transport.cpp
+++ b/lib/transport/server_transport.cpp
@@ -119,7 +119,7 @@
         client.framer.buffered() > client.limits.max_header_bytes + client.limits.max_body_bytes) {
         // The client pipelines more than is kept for it.
         client.broken = true;
-        doomed_.push_back(peer->getID());
+        pending_close_.push_back(peer->getID());
         return;
     }
     advance(client);
@@ -218,7 +218,7 @@
     client.writing = false;
     client.broken = client.broken || !whole;
     if (client.broken) {
-        doomed_.push_back(id);
+        pending_close_.push_back(id);
         return;
     }
     if (client.closing) {
@@ -265,7 +265,7 @@
                                              "the request was not complete in time"));
         return;
     }
-    doomed_.push_back(client.peer->getID());
+    pending_close_.push_back(client.peer->getID());
 }
 
 void server_transport::arm_timer(time_point due)
@@ -283,7 +283,7 @@
 
 void server_transport::close_doomed()
 {
-    for (const std::size_t id : std::exchange(doomed_, {})) {
+    for (const std::size_t id : std::exchange(pending_close_, {})) {
         const auto found = connections_.find(id);
         if (found == connections_.end()) {
             continue;
@@ -297,7 +297,7 @@
 void server_transport::close_all()
 {
     for (const auto& [id, client] : connections_) {
-        doomed_.push_back(id);
+        pending_close_.push_back(id);
     }
     close_doomed();
 }
--- a/lib/transport/server_transport.h
+++ b/lib/transport/server_transport.h
@@ -133,7 +133,7 @@
     std::shared_ptr<response_queue> queue_ = std::make_shared<response_queue>();
     std::map<std::size_t, connection> connections_;
     /// Connections to be closed when no event is being handled.
-    std::vector<std::size_t> doomed_;
+    std::vector<std::size_t> pending_close_;
     int timer_ = -1;
     std::optional<time_point> timer_due_;
 };
