--- a/lib/transport/server_transport.cpp
+++ b/lib/transport/server_transport.cpp
@@ -76,7 +76,7 @@
             deliver(entry);
         }
     }
-    close_doomed();
+    close_pending();
     if (queue_->stop_requested()) {
         close_all();
     }
@@ -281,7 +281,7 @@
     ::timerfd_settime(timer_, 0, &when, nullptr);
 }
 
-void server_transport::close_doomed()
+void server_transport::close_pending()
 {
     for (const std::size_t id : std::exchange(pending_close_, {})) {
         const auto found = connections_.find(id);
@@ -299,7 +299,7 @@
     for (const auto& [id, client] : connections_) {
         pending_close_.push_back(id);
     }
-    close_doomed();
+    close_pending();
 }
 
 } // namespace chestnutstand
--- a/lib/transport/server_transport.h
+++ b/lib/transport/server_transport.h
@@ -125,7 +125,7 @@
     void check_deadlines();
     void expire(connection& client);
     void arm_timer(time_point due);
-    void close_doomed();
+    void close_pending();
     void close_all();
 
     std::shared_ptr<server_shared> shared_;
