--- a/lib/transport/pistache_server.cpp
+++ b/lib/transport/pistache_server.cpp
@@ -16,7 +16,7 @@
 } // namespace
 
 struct http_server::state {
-    std::shared_ptr<server_shared> shared = std::make_shared<server_shared>();
+    std::shared_ptr<shared_server_state> shared = std::make_shared<shared_server_state>();
     std::unique_ptr<tcp::Listener> listener;
     std::uint16_t port = 0;
 };
--- a/lib/transport/server_transport.h
+++ b/lib/transport/server_transport.h
@@ -50,7 +50,7 @@
 };
 
 /// What the transports of one server share.
-struct server_shared {
+struct shared_server_state {
     http_server_options options;
     http_server::handler handle;
     std::mutex mutex;
@@ -87,7 +87,8 @@
 /// the descriptor of a closed one.
 class server_transport final : public tcp::Transport {
 public:
-    server_transport(std::shared_ptr<server_shared> shared, std::shared_ptr<tcp::Handler> handler)
+    server_transport(std::shared_ptr<shared_server_state> shared,
+                     std::shared_ptr<tcp::Handler> handler)
         : tcp::Transport{handler}, shared_{std::move(shared)}, handler_{std::move(handler)}
     {
     }
@@ -128,7 +129,7 @@
     void close_pending();
     void close_all();
 
-    std::shared_ptr<server_shared> shared_;
+    std::shared_ptr<shared_server_state> shared_;
     std::shared_ptr<tcp::Handler> handler_;
     std::shared_ptr<response_queue> queue_ = std::make_shared<response_queue>();
     std::map<std::size_t, connection> connections_;
