--- a/lib/transport/server_transport.cpp
+++ b/lib/transport/server_transport.cpp
@@ -12,7 +12,7 @@
 constexpr int status_request_timeout = 408;
 // After a refusal the client may still be sending. Closing at once would reset the connection and
 // destroy the response before the client has read it.
-constexpr milliseconds linger_limit{1'000};
+constexpr milliseconds linger_timeout{1'000};
 
 http_response plain_refusal(const request_refusal& why)
 {
@@ -223,7 +223,7 @@
     }
     if (client.closing) {
         ::shutdown(client.peer->fd(), SHUT_WR);
-        client.deadline = ms_clock::now() + linger_limit;
+        client.deadline = ms_clock::now() + linger_timeout;
         arm_timer(*client.deadline);
         return;
     }
