--- a/lib/node/components/node_endpoint_component.cpp
+++ b/lib/node/components/node_endpoint_component.cpp
@@ -11,7 +11,7 @@
 namespace chestnutstand {
 namespace {
 
-constexpr milliseconds stop_limit{1'000};
+constexpr milliseconds stop_timeout{1'000};
 
 /// Dispatches requests from other nodes to the components of this node.
 class local_node_handler final : public node_handler {
@@ -93,7 +93,7 @@
         return status;
     }
 
-    void stop(kernel& /*node*/) override { server_->stop(stop_limit); }
+    void stop(kernel& /*node*/) override { server_->stop(stop_timeout); }
 
 private:
     std::unique_ptr<local_node_handler> handler_;
--- a/lib/transport/pistache_server.cpp
+++ b/lib/transport/pistache_server.cpp
@@ -10,7 +10,7 @@
 namespace chestnutstand {
 namespace {
 
-constexpr milliseconds stop_limit{2'000};
+constexpr milliseconds stop_timeout{2'000};
 constexpr milliseconds stop_poll_interval{1};
 
 } // namespace
@@ -72,7 +72,7 @@
     for (const auto& queue : shared.queues) {
         queue->request_stop();
     }
-    const time_point limit = ms_clock::now() + stop_limit;
+    const time_point limit = ms_clock::now() + stop_timeout;
     while (shared.open_connections > 0 && ms_clock::now() < limit) {
         std::this_thread::sleep_for(stop_poll_interval);
     }
