--- a/lib/transport/request_framer.cpp
+++ b/lib/transport/request_framer.cpp
@@ -201,7 +201,7 @@
     max_body_bytes_ = max_body_bytes;
 }
 
-request_refusal request_framer::give_up(int status, std::string detail) const
+request_refusal request_framer::refuse_incomplete(int status, std::string detail) const
 {
     request_refusal refused{status, reason_code::malformed_request, std::move(detail), {}};
     if (head_) {
--- a/lib/transport/request_framer.h
+++ b/lib/transport/request_framer.h
@@ -36,7 +36,7 @@
     framing_result next();
 
     /// Refusal of a request that is not complete.
-    request_refusal give_up(int status, std::string detail) const;
+    request_refusal refuse_incomplete(int status, std::string detail) const;
 
     /// Whether the client waits for 100 Continue before it sends the body; true once per request.
     bool take_continue();
--- a/lib/transport/server_transport.cpp
+++ b/lib/transport/server_transport.cpp
@@ -261,8 +261,8 @@
 void server_transport::expire(connection& client)
 {
     if (client.in_request && !client.writing && !client.closing) {
-        refuse(client, client.framer.give_up(status_request_timeout,
-                                             "the request was not complete in time"));
+        refuse(client, client.framer.refuse_incomplete(status_request_timeout,
+                                                       "the request was not complete in time"));
         return;
     }
     pending_close_.push_back(client.peer->getID());
