--- a/lib/transport/request_framer.cpp
+++ b/lib/transport/request_framer.cpp
@@ -210,7 +210,7 @@
     return refused;
 }
 
-bool request_framer::take_continue()
+bool request_framer::consume_expect_continue()
 {
     return head_ && std::exchange(head_->continue_wanted, false);
 }
--- a/lib/transport/request_framer.h
+++ b/lib/transport/request_framer.h
@@ -39,7 +39,7 @@
     request_refusal refuse_incomplete(int status, std::string detail) const;
 
     /// Whether the client waits for 100 Continue before it sends the body; true once per request.
-    bool take_continue();
+    bool consume_expect_continue();
 
     /// Whether no byte of a further request has arrived.
     bool empty() const { return buffer_.empty() && !head_; }
--- a/lib/transport/server_transport.cpp
+++ b/lib/transport/server_transport.cpp
@@ -158,7 +158,7 @@
 
 void server_transport::wait_for_client(connection& client)
 {
-    if (client.framer.take_continue()) {
+    if (client.framer.consume_expect_continue()) {
         write(client, "HTTP/1.1 100 Continue\r\n\r\n");
     }
     const bool in_request = !client.framer.empty();
