--- a/lib/transport/request_framer.cpp
+++ b/lib/transport/request_framer.cpp
@@ -212,7 +212,7 @@
 
 bool request_framer::consume_expect_continue()
 {
-    return head_ && std::exchange(head_->continue_wanted, false);
+    return head_ && std::exchange(head_->expects_continue, false);
 }
 
 std::optional<request_refusal> request_framer::read_head()
@@ -274,7 +274,7 @@
                                    "the only expectation that is met is 100-continue",
                                    request.headers};
         }
-        result.continue_wanted = result.body_bytes > 0 || result.chunks;
+        result.expects_continue = result.body_bytes > 0 || result.chunks;
     }
     result.parsed.keep_alive = result.parsed.keep_alive && !closes_connection(request);
     return result;
--- a/lib/transport/request_framer.h
+++ b/lib/transport/request_framer.h
@@ -53,7 +53,7 @@
         std::size_t body_bytes = 0;
         /// Set for a body that comes in chunks.
         std::optional<chunked_body> chunks;
-        bool continue_wanted = false;
+        bool expects_continue = false;
     };
 
     std::optional<request_refusal> read_head();
