--- a/lib/transport/request_framer.cpp
+++ b/lib/transport/request_framer.cpp
@@ -221,7 +221,7 @@
     while (buffer_.rfind(line_end, 0) == 0) {
         buffer_.erase(0, line_end.size());
     }
-    const auto end = buffer_.find("\r\n\r\n", scanned_);
+    const auto end = buffer_.find("\r\n\r\n", scanned_bytes_);
     const std::size_t head_bytes = end == std::string::npos ? buffer_.size() : end;
     if (head_bytes > max_header_bytes_) {
         return request_refusal{status_headers_too_large,
@@ -230,14 +230,14 @@
                                             max_header_bytes_, " bytes"),
                                {}};
     }
-    if (has_bare_line_feed(std::string_view{buffer_}.substr(0, head_bytes), scanned_)) {
+    if (has_bare_line_feed(std::string_view{buffer_}.substr(0, head_bytes), scanned_bytes_)) {
         return malformed("lines must end with carriage return and line feed");
     }
     if (end == std::string::npos) {
-        scanned_ = buffer_.size() < 3 ? 0 : buffer_.size() - 3;
+        scanned_bytes_ = buffer_.size() < 3 ? 0 : buffer_.size() - 3;
         return std::nullopt;
     }
-    scanned_ = 0;
+    scanned_bytes_ = 0;
     auto parsed = parse_head(std::string_view{buffer_}.substr(0, end));
     if (auto* refused = std::get_if<request_refusal>(&parsed)) {
         return std::move(*refused);
--- a/lib/transport/request_framer.h
+++ b/lib/transport/request_framer.h
@@ -66,7 +66,7 @@
     std::size_t max_body_bytes_;
     std::string buffer_;
     /// Bytes of the buffer that are known not to contain the end of the header block.
-    std::size_t scanned_ = 0;
+    std::size_t scanned_bytes_ = 0;
     /// Header block of the request whose body is still arriving.
     std::optional<head> head_;
 };
