--- a/lib/transport/chunked_body.cpp
+++ b/lib/transport/chunked_body.cpp
@@ -21,11 +21,11 @@
     auto progress = chunk_progress::incomplete;
     while (progress == chunk_progress::incomplete && taken < buffer.size()) {
         if (state_ == state::data) {
-            const std::size_t count = std::min(chunk_left_, buffer.size() - taken);
+            const std::size_t count = std::min(chunk_bytes_left_, buffer.size() - taken);
             bytes_.append(buffer, taken, count);
             taken += count;
-            chunk_left_ -= count;
-            state_ = chunk_left_ == 0 ? state::data_end : state::data;
+            chunk_bytes_left_ -= count;
+            state_ = chunk_bytes_left_ == 0 ? state::data_end : state::data;
             continue;
         }
         const auto end = buffer.find(line_end, taken);
@@ -66,7 +66,7 @@
     if (size > max_bytes_ || bytes_.size() > max_bytes_ - size) {
         return chunk_progress::too_large;
     }
-    chunk_left_ = size;
+    chunk_bytes_left_ = size;
     state_ = size == 0 ? state::trailer : state::data;
     return chunk_progress::incomplete;
 }
--- a/lib/transport/chunked_body.h
+++ b/lib/transport/chunked_body.h
@@ -33,7 +33,7 @@
 
     std::size_t max_bytes_;
     state state_ = state::size;
-    std::size_t chunk_left_ = 0;
+    std::size_t chunk_bytes_left_ = 0;
     std::size_t trailer_bytes_ = 0;
     std::string bytes_;
 };
