--- a/lib/transport/chunked_body.cpp
+++ b/lib/transport/chunked_body.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-chunk_progress chunked_body::take_from(std::string& buffer)
+chunk_progress chunked_body::decode_from(std::string& buffer)
 {
     std::size_t taken = 0;
     auto progress = chunk_progress::incomplete;
--- a/lib/transport/chunked_body.h
+++ b/lib/transport/chunked_body.h
@@ -20,7 +20,7 @@
     explicit chunked_body(std::size_t max_bytes) : max_bytes_{max_bytes} {}
 
     /// Takes what it can off the front of the buffer.
-    chunk_progress take_from(std::string& buffer);
+    chunk_progress decode_from(std::string& buffer);
 
     /// The decoded bytes; all of them once the body is complete.
     std::string& bytes() { return bytes_; }
--- a/lib/transport/request_framer.cpp
+++ b/lib/transport/request_framer.cpp
@@ -171,7 +171,7 @@
 
 framing_result request_framer::next_chunked()
 {
-    switch (head_->chunks->take_from(buffer_)) {
+    switch (head_->chunks->decode_from(buffer_)) {
     case chunk_progress::incomplete:
         return std::monostate{};
     case chunk_progress::malformed:
