--- a/lib/transport/server_transport.cpp
+++ b/lib/transport/server_transport.cpp
@@ -131,13 +131,13 @@
     if (client.slot || client.writing || client.closing || client.broken) {
         return;
     }
-    if (!handle_next(client)) {
+    if (!handle_next_request(client)) {
         wait_for_client(client);
     }
 }
 
 /// Whether a request was complete or refused.
-bool server_transport::handle_next(connection& client)
+bool server_transport::handle_next_request(connection& client)
 {
     auto next = client.framer.next();
     if (const auto* refused = std::get_if<request_refusal>(&next)) {
--- a/lib/transport/server_transport.h
+++ b/lib/transport/server_transport.h
@@ -117,7 +117,7 @@
 
 private:
     void advance(connection& client);
-    bool handle_next(connection& client);
+    bool handle_next_request(connection& client);
     void refuse(connection& client, const request_refusal& why);
     void deliver(const response_queue::entry& ready);
     void write(connection& client, std::string bytes);
