--- a/lib/transport/wire_convert.cpp
+++ b/lib/transport/wire_convert.cpp
@@ -40,8 +40,8 @@
     return {static_cast<int>(from.status()), headers_from_wire(from.headers()), from.body()};
 }
 
-constexpr std::array outcomes_on_wire{wire::OUTCOME_COMPLETED, wire::OUTCOME_NOT_RUN,
-                                      wire::OUTCOME_UNKNOWN};
+constexpr std::array wire_outcomes{wire::OUTCOME_COMPLETED, wire::OUTCOME_NOT_RUN,
+                                   wire::OUTCOME_UNKNOWN};
 
 constexpr std::array repeatabilities_on_wire{
     wire::REPEATABILITY_BY_CLASS, wire::REPEATABILITY_REPEATABLE, wire::REPEATABILITY_AT_MOST_ONCE};
@@ -142,7 +142,7 @@
 wire::ExecuteReply to_wire(const call_result& result)
 {
     wire::ExecuteReply reply;
-    reply.set_outcome(outcomes_on_wire.at(static_cast<std::size_t>(result.outcome)));
+    reply.set_outcome(wire_outcomes.at(static_cast<std::size_t>(result.outcome)));
     reply.set_reason(std::string{to_string(result.reason)});
     if (result.outcome == call_outcome::completed) {
         response_to_wire(result.response, reply.mutable_response());
@@ -156,7 +156,7 @@
 call_result from_wire(const wire::ExecuteReply& reply)
 {
     call_result result;
-    result.outcome = value_from_wire(outcomes_on_wire, reply.outcome(), call_outcome::unknown);
+    result.outcome = value_from_wire(wire_outcomes, reply.outcome(), call_outcome::unknown);
     result.reason = reason_names.find(reply.reason()).value_or(reason_code::internal);
     if (reply.has_response()) {
         result.response = response_from_wire(reply.response());
