--- a/lib/transport/wire_convert.cpp
+++ b/lib/transport/wire_convert.cpp
@@ -43,7 +43,7 @@
 constexpr std::array wire_outcomes{wire::OUTCOME_COMPLETED, wire::OUTCOME_NOT_RUN,
                                    wire::OUTCOME_UNKNOWN};
 
-constexpr std::array repeatabilities_on_wire{
+constexpr std::array wire_repeatabilities{
     wire::REPEATABILITY_BY_CLASS, wire::REPEATABILITY_REPEATABLE, wire::REPEATABILITY_AT_MOST_ONCE};
 
 constexpr std::array settle_states_on_wire{wire::SETTLE_COMPLETED, wire::SETTLE_RUNNING,
@@ -75,7 +75,7 @@
     message.set_idempotency_key(call.idempotency_key);
     message.set_request_id(call.request_id);
     message.set_movable(call.movable);
-    message.set_repeatability(repeatabilities_on_wire.at(static_cast<std::size_t>(call.repeat)));
+    message.set_repeatability(wire_repeatabilities.at(static_cast<std::size_t>(call.repeat)));
     auto* request = message.mutable_request();
     request->set_method(call.request.method);
     request->set_target(call.request.target);
@@ -97,7 +97,7 @@
     result.movable = call.movable();
     // An unknown value must not make a call repeatable.
     result.repeat =
-        value_from_wire(repeatabilities_on_wire, call.repeatability(), repeatability::at_most_once);
+        value_from_wire(wire_repeatabilities, call.repeatability(), repeatability::at_most_once);
     result.request.method = call.request().method();
     result.request.target = call.request().target();
     result.request.headers = headers_from_wire(call.request().headers());
