--- a/lib/transport/wire_convert.cpp
+++ b/lib/transport/wire_convert.cpp
@@ -46,9 +46,9 @@
 constexpr std::array wire_repeatabilities{
     wire::REPEATABILITY_BY_CLASS, wire::REPEATABILITY_REPEATABLE, wire::REPEATABILITY_AT_MOST_ONCE};
 
-constexpr std::array settle_states_on_wire{wire::SETTLE_COMPLETED, wire::SETTLE_RUNNING,
-                                           wire::SETTLE_FENCED, wire::SETTLE_UNKNOWN,
-                                           wire::SETTLE_WRONG_INSTANCE};
+constexpr std::array wire_settle_states{wire::SETTLE_COMPLETED, wire::SETTLE_RUNNING,
+                                        wire::SETTLE_FENCED, wire::SETTLE_UNKNOWN,
+                                        wire::SETTLE_WRONG_INSTANCE};
 
 /// Index of a wire value; values that this version does not know count as the fallback.
 template <typename Values, typename Value, typename Enum>
@@ -170,7 +170,7 @@
 wire::SettleReply to_wire(const settle_result& result)
 {
     wire::SettleReply reply;
-    reply.set_state(settle_states_on_wire.at(static_cast<std::size_t>(result.state)));
+    reply.set_state(wire_settle_states.at(static_cast<std::size_t>(result.state)));
     if (result.state == settle_state::completed) {
         response_to_wire(result.response, reply.mutable_response());
     }
@@ -184,7 +184,7 @@
 settle_result from_wire(const wire::SettleReply& reply)
 {
     settle_result result;
-    result.state = value_from_wire(settle_states_on_wire, reply.state(), settle_state::unknown);
+    result.state = value_from_wire(wire_settle_states, reply.state(), settle_state::unknown);
     result.response = response_from_wire(reply.response());
     result.reason = reason_names.find(reply.reason()).value_or(reason_code::internal);
     if (reply.request().size() == fingerprint{}.size()) {
