--- a/lib/transport/grpc_peer_client.cpp
+++ b/lib/transport/grpc_peer_client.cpp
@@ -198,7 +198,8 @@
 void grpc_peer_client::start_call(const node_reference& target, const service_call& call,
                                   std::shared_ptr<State> state, call_done done, Start start)
 {
-    state->context.set_deadline(system_deadline(call.deadline - ms_clock::now() + reply_grace));
+    state->context.set_deadline(
+        system_deadline(call.deadline - ms_clock::now() + reply_grace_period));
     const auto stub = stub_of(target);
     start(stub.get(), *state, [state, stub, done = std::move(done)](const grpc::Status& status) {
         done(result_of(status, state->reply));
--- a/lib/transport/http_peer_client.cpp
+++ b/lib/transport/http_peer_client.cpp
@@ -134,7 +134,7 @@
     void send_call(const node_reference& target, const char* path, const Request& request,
                    const service_call& call, http_client::http_done&& done)
     {
-        const milliseconds left = call.deadline - ms_clock::now() + reply_grace;
+        const milliseconds left = call.deadline - ms_clock::now() + reply_grace_period;
         const auto id = client_.send(url_of(target), make_request(path, request),
                                      std::max(left, milliseconds{1}), std::move(done));
         if (call.cancel) {
--- a/lib/transport/node_call_paths.h
+++ b/lib/transport/node_call_paths.h
@@ -16,6 +16,6 @@
 
 /// Lets the executor's own answer, for example a timeout of its upstream, arrive before the call
 /// between the nodes times out.
-inline constexpr milliseconds reply_grace{250};
+inline constexpr milliseconds reply_grace_period{250};
 
 } // namespace chestnutstand
