--- a/lib/transport/server_transport.cpp
+++ b/lib/transport/server_transport.cpp
@@ -14,7 +14,7 @@
 // destroy the response before the client has read it.
 constexpr milliseconds linger_timeout{1'000};
 
-http_response plain_refusal(const request_refusal& why)
+http_response plain_text_refusal(const request_refusal& why)
 {
     return {why.status, {{"Content-Type", "text/plain"}}, why.detail};
 }
@@ -174,7 +174,7 @@
 void server_transport::refuse(connection& client, const request_refusal& why)
 {
     const auto& make = shared_->options.refuse;
-    const http_response response = make ? make(why) : plain_refusal(why);
+    const http_response response = make ? make(why) : plain_text_refusal(why);
     client.closing = true;
     client.framer.discard();
     write(client, serialize(response, false, true));
