--- a/lib/transport/request_framer.cpp
+++ b/lib/transport/request_framer.cpp
@@ -131,7 +131,7 @@
 }
 
 /// Whether a line ends with a bare line feed, which some servers take for a line end and some not.
-bool has_bare_line_feed(std::string_view text, std::size_t from)
+bool has_bare_lf(std::string_view text, std::size_t from)
 {
     for (auto at = text.find('\n', from); at != std::string_view::npos;
          at = text.find('\n', at + 1)) {
@@ -230,7 +230,7 @@
                                             max_header_bytes_, " bytes"),
                                {}};
     }
-    if (has_bare_line_feed(std::string_view{buffer_}.substr(0, head_bytes), scanned_bytes_)) {
+    if (has_bare_lf(std::string_view{buffer_}.substr(0, head_bytes), scanned_bytes_)) {
         return malformed("lines must end with carriage return and line feed");
     }
     if (end == std::string::npos) {
