--- a/lib/transport/http_connection.cpp
+++ b/lib/transport/http_connection.cpp
@@ -60,7 +60,7 @@
     [[maybe_unused]] const auto bytes = ::write(wake_, &one, sizeof one);
 }
 
-bool asks_to_close(const http_response& response)
+bool has_connection_close(const http_response& response)
 {
     const auto connection = find_header(response.headers, "connection");
     return connection && header_name_equal(*connection, "close");
--- a/lib/transport/http_connection.h
+++ b/lib/transport/http_connection.h
@@ -85,6 +85,6 @@
 std::string serialize(const http_response& response, bool head_only, bool close);
 
 /// Whether the response itself ends the connection.
-bool asks_to_close(const http_response& response);
+bool has_connection_close(const http_response& response);
 
 } // namespace chestnutstand
--- a/lib/transport/server_transport.cpp
+++ b/lib/transport/server_transport.cpp
@@ -188,7 +188,7 @@
     }
     connection& client = found->second;
     client.slot.reset();
-    client.closing = !ready.slot->keep_alive() || asks_to_close(ready.response);
+    client.closing = !ready.slot->keep_alive() || has_connection_close(ready.response);
     write(client, serialize(ready.response, ready.slot->head_only(), client.closing));
 }
 
