--- a/unittests/transport/descriptor_reuse_test.cpp
+++ b/unittests/transport/descriptor_reuse_test.cpp
@@ -20,7 +20,7 @@
 
 constexpr int client_threads = 8;
 constexpr int connections_per_thread = 1'500;
-constexpr int late_threads = 4;
+constexpr int responder_threads = 4;
 
 struct client_counts {
     std::atomic<int> answered = 0;
@@ -60,12 +60,12 @@
 {
     http_server_options options;
     options.threads = 2;
-    std::array<control_loop, late_threads> late;
+    std::array<control_loop, responder_threads> late;
     std::atomic<unsigned> next = 0;
     http_server server{
         options, [&](const http_request& request, const std::shared_ptr<responder>& to) {
             const unsigned turn = next++;
-            late.at(turn % late_threads)
+            late.at(turn % responder_threads)
                 .post_after(milliseconds{(turn % 7) * 0.1}, [to, target = request.target + "#"] {
                     // Large enough to need more than one write at times.
                     to->send({200, {}, target + std::string(5'000, '.')});
