--- a/unittests/transport/http_server_test.cpp
+++ b/unittests/transport/http_server_test.cpp
@@ -48,7 +48,7 @@
     raw_socket connect() { return raw_socket::connect_to(server_->port()); }
 
     /// The whole answer to bytes after which the server must close the connection.
-    std::string answer_and_close(const std::string& bytes)
+    std::string response_until_close(const std::string& bytes)
     {
         const auto client = connect();
         client.send(bytes);
@@ -180,7 +180,7 @@
         {"GET /" + std::string(20'000, 'a'), 431},
     };
     for (const auto& each : inputs) {
-        const auto received = answer_and_close(each.bytes);
+        const auto received = response_until_close(each.bytes);
         EXPECT_EQ(received.rfind("HTTP/1.1 " + std::to_string(each.status) + " ", 0), 0U)
             << each.bytes.substr(0, 100) << "\ngot\n"
             << received;
@@ -194,8 +194,8 @@
 TEST_F(http_server_test, answers_a_body_that_is_too_large)
 {
     const auto received =
-        answer_and_close("POST /x HTTP/1.1\r\nHost: x\r\nContent-Length: 2097152\r\n\r\n" +
-                         std::string(2'097'152, 'x'));
+        response_until_close("POST /x HTTP/1.1\r\nHost: x\r\nContent-Length: 2097152\r\n\r\n" +
+                             std::string(2'097'152, 'x'));
     EXPECT_EQ(received.rfind("HTTP/1.1 413 ", 0), 0U) << received;
     EXPECT_EQ(handled_, 0);
 }
@@ -215,7 +215,7 @@
 {
     for (const std::string part : {"GET /x HT", "GET /x HTTP/1.1\r\nHost: x\r\n",
                                    "POST /x HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nab"}) {
-        EXPECT_EQ(answer_and_close(part).rfind("HTTP/1.1 408 ", 0), 0U) << part;
+        EXPECT_EQ(response_until_close(part).rfind("HTTP/1.1 408 ", 0), 0U) << part;
     }
     EXPECT_EQ(handled_, 0);
 }
@@ -249,7 +249,7 @@
 {
     for (const std::string request : {"GET /x HTTP/1.1\r\nHost: x\r\nConnection: a, Close\r\n\r\n",
                                       "GET /x HTTP/1.0\r\n\r\n"}) {
-        const auto received = answer_and_close(request);
+        const auto received = response_until_close(request);
         EXPECT_NE(received.find("Connection: close\r\n"), std::string::npos);
     }
     hold_ = true;
@@ -294,7 +294,7 @@
         return http_response{why.status, {}, "refused as " + std::string{to_string(why.reason)}};
     };
     start();
-    const auto received = answer_and_close("nonsense\r\n\r\n");
+    const auto received = response_until_close("nonsense\r\n\r\n");
     EXPECT_NE(received.find("refused as malformed_request"), std::string::npos) << received;
 }
 
@@ -343,7 +343,7 @@
     };
     start();
     const std::string request = "POST /x HTTP/1.1\r\nHost: x\r\nContent-Length: 8\r\n\r\n12345678";
-    EXPECT_EQ(answer_and_close(request).rfind("HTTP/1.1 413", 0), 0U);
+    EXPECT_EQ(response_until_close(request).rfind("HTTP/1.1 413", 0), 0U);
     body_bytes = 8;
     const auto client = connect();
     client.send(request);
