--- a/unittests/transport/http_server_test.cpp
+++ b/unittests/transport/http_server_test.cpp
@@ -58,7 +58,7 @@
         return received;
     }
 
-    std::vector<std::shared_ptr<responder>> wait_for_held(std::size_t count)
+    std::vector<std::shared_ptr<responder>> wait_for_pending_responders(std::size_t count)
     {
         for (int i = 0; i < 10'000; ++i) {
             {
@@ -100,12 +100,12 @@
     hold_ = true;
     const auto client = connect();
     client.send("GET /1 HTTP/1.1\r\nHost: x\r\n\r\nGET /2 HTTP/1.1\r\nHost: x\r\n\r\n");
-    const auto held = wait_for_held(1);
+    const auto held = wait_for_pending_responders(1);
     ASSERT_EQ(held.size(), 1U);
     std::this_thread::sleep_for(milliseconds{50});
     EXPECT_EQ(handled_, 1);
     held[0]->send({200, {}, "first"});
-    const auto both = wait_for_held(2);
+    const auto both = wait_for_pending_responders(2);
     ASSERT_EQ(both.size(), 2U);
     both[1]->send({200, {}, "second"});
     const auto received = client.receive_until_text("second");
@@ -255,7 +255,7 @@
     hold_ = true;
     const auto client = connect();
     client.send("GET /x HTTP/1.1\r\nHost: x\r\n\r\n");
-    wait_for_held(1).at(0)->send({200, {{"Connection", "close"}}, "end"});
+    wait_for_pending_responders(1).at(0)->send({200, {{"Connection", "close"}}, "end"});
     bool closed = false;
     EXPECT_NE(client.receive_all(closed).find("Connection: close\r\n"), std::string::npos);
     EXPECT_TRUE(closed);
@@ -277,7 +277,7 @@
     hold_ = true;
     auto client = connect();
     client.send("GET /x HTTP/1.1\r\nHost: x\r\n\r\n");
-    const auto held = wait_for_held(1);
+    const auto held = wait_for_pending_responders(1);
     ASSERT_EQ(held.size(), 1U);
     EXPECT_FALSE(held[0]->disconnected()->cancelled());
     client.close();
