--- a/unittests/transport/http_server_test.cpp
+++ b/unittests/transport/http_server_test.cpp
@@ -221,7 +221,7 @@
 }
 
 // Guards against a client that keeps a request alive by sending byte after byte.
-TEST_F(http_server_test, refuses_a_request_that_trickles)
+TEST_F(http_server_test, refuses_a_request_sent_too_slowly)
 {
     const auto client = connect();
     bool refused = false;
