--- a/unittests/transport/http_client_test.cpp
+++ b/unittests/transport/http_client_test.cpp
@@ -220,7 +220,7 @@
 }
 
 // Guards against a silent pooled connection that stops more than one request.
-TEST(http_client, leaves_a_silent_pooled_connection)
+TEST(http_client, abandons_an_unresponsive_pooled_connection)
 {
     fake_server server{[](raw_socket& connection, int number, int request) {
         const bool silent = number == 0 && request > 0;
