--- a/unittests/transport/http_client_test.cpp
+++ b/unittests/transport/http_client_test.cpp
@@ -234,7 +234,7 @@
 }
 
 // Guards against a connection on which one extra response shifts all that follow.
-TEST(http_client, leaves_a_connection_whose_response_is_for_another_request)
+TEST(http_client, closes_a_connection_whose_response_is_for_another_request)
 {
     const auto answer = [](const std::string& id) {
         return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nId: " + id + "\r\n\r\n";
