--- a/unittests/transport/http_server_test.cpp
+++ b/unittests/transport/http_server_test.cpp
@@ -272,7 +272,7 @@
 }
 
 // Guards against work for a caller that has gone.
-TEST_F(http_server_test, tells_of_a_disconnected_client)
+TEST_F(http_server_test, cancels_when_the_client_disconnects)
 {
     hold_ = true;
     auto client = connect();
