--- a/unittests/transport/http_server_test.cpp
+++ b/unittests/transport/http_server_test.cpp
@@ -235,7 +235,7 @@
 }
 
 // Guards against a client that waits for ever for leave to send its body.
-TEST_F(http_server_test, tells_a_waiting_client_to_continue)
+TEST_F(http_server_test, sends_100_continue_to_a_waiting_client)
 {
     const auto client = connect();
     client.send("POST /x HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n");
