--- a/unittests/transport/http_server_test.cpp
+++ b/unittests/transport/http_server_test.cpp
@@ -245,7 +245,7 @@
 }
 
 // Guards against a connection that is said to be closed and stays open.
-TEST_F(http_server_test, closes_when_it_says_so)
+TEST_F(http_server_test, closes_the_connection_after_connection_close)
 {
     for (const std::string request : {"GET /x HTTP/1.1\r\nHost: x\r\nConnection: a, Close\r\n\r\n",
                                       "GET /x HTTP/1.0\r\n\r\n"}) {
