--- a/unittests/transport/http_server_test.cpp
+++ b/unittests/transport/http_server_test.cpp
@@ -288,7 +288,7 @@
 }
 
 // Guards against refusals that do not have the form of the port's other errors.
-TEST_F(http_server_test, uses_the_given_form_of_refusals)
+TEST_F(http_server_test, uses_the_configured_refusal_response)
 {
     options_.refuse = [](const request_refusal& why) {
         return http_response{why.status, {}, "refused as " + std::string{to_string(why.reason)}};
