--- a/unittests/transport/node_server_test.cpp
+++ b/unittests/transport/node_server_test.cpp
@@ -173,7 +173,7 @@
 }
 
 // Guards against not-run for a call that a stopping peer has cancelled in the middle.
-TEST_F(node_server_test, a_call_cut_off_by_the_end_of_its_peer_is_unknown)
+TEST_F(node_server_test, a_call_interrupted_by_peer_shutdown_is_unknown)
 {
     handler_.hold();
     auto ended = execute(*client_, target(), make_call());
