--- a/unittests/transport/http_client_test.cpp
+++ b/unittests/transport/http_client_test.cpp
@@ -151,7 +151,7 @@
 }
 
 // Guards against a lost request that is reported as one that may have run.
-TEST(http_client, reports_a_refused_connection_as_such)
+TEST(http_client, reports_a_refused_connection_as_connect_failed)
 {
     auto gone = raw_socket::listen_on_loopback();
     const auto url = "http://127.0.0.1:" + std::to_string(gone.port());
