--- a/include/chestnutstand/admission/class_queue.h
+++ b/include/chestnutstand/admission/class_queue.h
@@ -21,7 +21,7 @@
     time_point deadline;
 };
 
-struct expired_request {
+struct refused_request {
     queued_request request;
     reason_code reason = reason_code::none;
 };
@@ -54,7 +54,7 @@
     const queued_request& front() const;
     queued_request pop(time_point now);
     /// Removes and returns a request that has to be refused now, if there is one.
-    std::optional<expired_request> expire(time_point now);
+    std::optional<refused_request> expire(time_point now);
     /// Removes and returns any one request; used to empty the queue of a removed class.
     std::optional<queued_request> evict();
     /// Earliest time at which a queued request may have to be refused.
--- a/lib/admission/class_queue.cpp
+++ b/lib/admission/class_queue.cpp
@@ -64,7 +64,7 @@
     return extract(in_time_.empty() ? late_.front().id : in_time_.front().id);
 }
 
-std::optional<expired_request> class_queue::expire(time_point now)
+std::optional<refused_request> class_queue::expire(time_point now)
 {
     if (empty()) {
         return std::nullopt;
@@ -72,12 +72,12 @@
     const milliseconds service{service_time_.optimistic_mean(now)};
     const auto [deadline, id] = *by_deadline_.begin();
     if (deadline <= now + service) {
-        return expired_request{extract(id), reason_code::deadline_unmeetable};
+        return refused_request{extract(id), reason_code::deadline_unmeetable};
     }
     move_late_requests(now);
     if (!late_.empty() && overloaded(now)) {
         note_overload_refusal(now);
-        return expired_request{extract(late_.front().id), reason_code::queue_timeout};
+        return refused_request{extract(late_.front().id), reason_code::queue_timeout};
     }
     return std::nullopt;
 }
