--- a/include/chestnutstand/routing/outlier_detector.h
+++ b/include/chestnutstand/routing/outlier_detector.h
@@ -51,7 +51,7 @@
 
     static double failure_ratio(const history& member);
     static bool is_readmitting(const history& member, time_point now);
-    bool is_outlier(std::uint64_t instance, const history& member, time_point now) const;
+    bool should_eject(std::uint64_t instance, const history& member, time_point now) const;
     static void eject(history& member, time_point now, random_generator& random);
 
     std::unordered_map<std::uint64_t, history> members_;
--- a/lib/routing/outlier_detector.cpp
+++ b/lib/routing/outlier_detector.cpp
@@ -59,7 +59,7 @@
     member.last_call = now;
     member.failures = static_cast<std::uint16_t>((member.failures << 1U) | (succeeded ? 0U : 1U));
     member.calls = std::min<std::uint8_t>(window_calls, member.calls + 1);
-    if (is_outlier(instance, member, now)) {
+    if (should_eject(instance, member, now)) {
         eject(member, now, random);
         return ejection_change::ejected;
     }
@@ -100,8 +100,8 @@
     return member.was_ejected && now - member.ejected_until < readmission_slow_start.ramp;
 }
 
-bool outlier_detector::is_outlier(std::uint64_t instance, const history& member,
-                                  time_point now) const
+bool outlier_detector::should_eject(std::uint64_t instance, const history& member,
+                                    time_point now) const
 {
     const std::uint8_t required_calls =
         is_readmitting(member, now) ? min_calls_readmitting : min_calls;
