--- a/include/chestnutstand/admission/upstream_slowdown.h
+++ b/include/chestnutstand/admission/upstream_slowdown.h
@@ -28,7 +28,7 @@
     bool slow(time_point now) const;
 
     /// Whether the last report is recent enough to still describe the present.
-    bool has_recent_report(time_point now) const;
+    bool has_fresh_report(time_point now) const;
 
     /// Whether the upstream was slow at its last report and that report is old enough to send a
     /// probe for a new one.
--- a/lib/admission/upstream_slowdown.cpp
+++ b/lib/admission/upstream_slowdown.cpp
@@ -54,7 +54,7 @@
     return factor(now) >= slow_factor;
 }
 
-bool upstream_slowdown::has_recent_report(time_point now) const
+bool upstream_slowdown::has_fresh_report(time_point now) const
 {
     return observed_at_ && now - *observed_at_ < recent_report_age;
 }
--- a/lib/node/executor_slowdown.cpp
+++ b/lib/node/executor_slowdown.cpp
@@ -21,7 +21,7 @@
 bool executor::should_wait_for_slowdown(const service_call& call, time_point now)
 {
     if (!is_routed(call) || names_.upstream_load.empty() || health_path().empty() ||
-        slowdown_.has_recent_report(now) || now < slowdown_probes_paused_until_) {
+        slowdown_.has_fresh_report(now) || now < slowdown_probes_paused_until_) {
         return false;
     }
     return slowdown_probe_running_ || slowdown_probe_budget_.try_take(now);
@@ -68,7 +68,7 @@
                          const std::lock_guard lock{mutex_};
                          slowdown_probe_running_ = false;
                          waiting_calls.swap(waiting_for_slowdown_);
-                         if (!slowdown_.has_recent_report(now)) {
+                         if (!slowdown_.has_fresh_report(now)) {
                              slowdown_probes_paused_until_ = now + slowdown_probe_backoff;
                          }
                      }
