--- a/lib/admission/upstream_slowdown.cpp
+++ b/lib/admission/upstream_slowdown.cpp
@@ -12,7 +12,7 @@
 /// Age from which a report of a slow upstream is refreshed with a probe.
 constexpr milliseconds refresh_after{60};
 /// Slow phases last some hundred milliseconds, so one rarely begins within this time.
-constexpr milliseconds recent_report_age{50};
+constexpr milliseconds fresh_report_age{50};
 /// The usual factor is the lowest one of the current and the previous period of this length.
 constexpr milliseconds baseline_period{2'000};
 constexpr double min_reported_factor = 0.01;
@@ -56,7 +56,7 @@
 
 bool upstream_slowdown::has_fresh_report(time_point now) const
 {
-    return observed_at_ && now - *observed_at_ < recent_report_age;
+    return observed_at_ && now - *observed_at_ < fresh_report_age;
 }
 
 bool upstream_slowdown::needs_refresh(time_point now) const
