--- a/include/chestnutstand/admission/admission_queue.h
+++ b/include/chestnutstand/admission/admission_queue.h
@@ -92,7 +92,10 @@
     /// Refuses all further offers; requests that are already queued are still served.
     void drain() { draining_ = true; }
 
-    bool idle() const { return queued_.empty() && running_.empty() && removed_classes_.empty(); }
+    bool idle() const
+    {
+        return queued_.empty() && running_.empty() && requests_of_removed_classes_.empty();
+    }
     std::uint32_t in_flight() const { return static_cast<std::uint32_t>(running_.size()); }
     std::uint32_t limit() const { return limit_.value(); }
     std::optional<time_point> next_expiry(time_point now) const;
@@ -131,7 +134,7 @@
     std::unordered_map<std::uint64_t, std::size_t> queued_;
     std::unordered_map<std::uint64_t, running_request> running_;
     /// Requests whose class was removed, to be returned by next() as refused.
-    std::deque<queued_request> removed_classes_;
+    std::deque<queued_request> requests_of_removed_classes_;
     decaying_mean service_time_;
     double slowdown_ = 1.0;
     bool draining_ = false;
--- a/lib/admission/admission_queue.cpp
+++ b/lib/admission/admission_queue.cpp
@@ -126,9 +126,9 @@
 
 std::optional<queue_decision> admission_queue::expire(time_point now)
 {
-    if (!removed_classes_.empty()) {
-        const auto request = removed_classes_.front();
-        removed_classes_.pop_front();
+    if (!requests_of_removed_classes_.empty()) {
+        const auto request = requests_of_removed_classes_.front();
+        requests_of_removed_classes_.pop_front();
         return queue_decision{request.id, reason_code::unknown_priority, now - request.arrived};
     }
     for (auto& queue : classes_) {
@@ -279,8 +279,8 @@
         queued_.erase(found);
         return true;
     }
-    return std::erase_if(removed_classes_, [id](const auto& request) { return request.id == id; }) >
-           0;
+    return std::erase_if(requests_of_removed_classes_,
+                         [id](const auto& request) { return request.id == id; }) > 0;
 }
 
 std::optional<time_point> admission_queue::next_expiry(time_point now) const
@@ -373,7 +373,7 @@
                 break;
             }
             queued_.erase(request->id);
-            removed_classes_.push_back(*request);
+            requests_of_removed_classes_.push_back(*request);
         }
     }
     for (auto& [id, priority] : queued_) {
