--- a/lib/admission/admission_queue.cpp
+++ b/lib/admission/admission_queue.cpp
@@ -329,11 +329,12 @@
     // The class receives its guaranteed share regardless of the load of the other classes.
     const double wait_for_free_slot_ms =
         slots_left > 0.0 ? work_ahead_ms / slots_left : std::numeric_limits<double>::infinity();
-    const double unearned = std::max(0.0, static_cast<double>(ahead_in_class + 1) - queue.credit);
+    const double dispatches_to_earn =
+        std::max(0.0, static_cast<double>(ahead_in_class + 1) - queue.credit);
     const double guaranteed_per_ms = total_per_ms * queue.guaranteed_share();
-    const double wait_for_guarantee_ms = guaranteed_per_ms > 0.0
-                                             ? unearned / guaranteed_per_ms + 1.0 / total_per_ms
-                                             : std::numeric_limits<double>::infinity();
+    const double wait_for_guarantee_ms =
+        guaranteed_per_ms > 0.0 ? dispatches_to_earn / guaranteed_per_ms + 1.0 / total_per_ms
+                                : std::numeric_limits<double>::infinity();
     return milliseconds{std::min(wait_for_free_slot_ms, wait_for_guarantee_ms)};
 }
 
