--- a/lib/admission/admission_queue.cpp
+++ b/lib/admission/admission_queue.cpp
@@ -302,9 +302,9 @@
     const auto service_ms = [now](const class_queue& measured) {
         return measured.service_time().blended_mean(measured.config().latency_target.count(), now);
     };
-    const std::uint32_t idle_slots = headroom(priority, now);
+    const std::uint32_t reserved_slots = headroom(priority, now);
     double work_ahead_ms = static_cast<double>(ahead_in_class + 1) * service_ms(queue);
-    double slots_left = static_cast<double>(limit_.value()) - idle_slots;
+    double slots_left = static_cast<double>(limit_.value()) - reserved_slots;
     bool is_more_urgent = true;
     bool first_in_line = ahead_in_class == 0;
     for (const auto index : by_urgency_) {
@@ -323,7 +323,7 @@
             slots_left -= other.guaranteed_share() * total_per_ms * service_ms(other);
         }
     }
-    if (first_in_line && in_flight() + idle_slots < limit_.value()) {
+    if (first_in_line && in_flight() + reserved_slots < limit_.value()) {
         return milliseconds{0};
     }
     // The class receives its guaranteed share regardless of the load of the other classes.
