--- a/lib/routing/balancing_policy.cpp
+++ b/lib/routing/balancing_policy.cpp
@@ -23,7 +23,7 @@
 /// A peer whose VM has at least this pace counts as slow while its report is recent. Other VMs on
 /// the same hardware slow it down for a few hundred milliseconds at a time.
 constexpr double slow_peer_slowdown = 1.5;
-constexpr milliseconds pace_max_age{150};
+constexpr milliseconds slowdown_max_age{150};
 
 /// Maximum age of a report of spare capacity on which a refused call is sent to another peer.
 constexpr milliseconds spare_capacity_max_age{250};
@@ -126,7 +126,8 @@
 
 bool is_slow(const load_view& view)
 {
-    return view.pace >= slow_peer_slowdown && view.report_age && *view.report_age <= pace_max_age;
+    return view.pace >= slow_peer_slowdown && view.report_age &&
+           *view.report_age <= slowdown_max_age;
 }
 
 bool has_spare_capacity(const load_view& view)
