--- a/lib/admission/reported_load.cpp
+++ b/lib/admission/reported_load.cpp
@@ -5,7 +5,7 @@
 namespace chestnutstand {
 namespace {
 
-constexpr double usual_pace_percent = 100.0;
+constexpr double usual_slowdown_percent = 100.0;
 
 /// Parses a number at the start of the text and removes it from the text.
 template <typename Number>
@@ -41,7 +41,7 @@
     if (!consume_number(text, load.pace) || !text.empty() || load.pace <= 0.0) {
         return std::nullopt;
     }
-    load.pace /= usual_pace_percent;
+    load.pace /= usual_slowdown_percent;
     return load;
 }
 
