--- a/benchmarks/replay_benchmark.cpp
+++ b/benchmarks/replay_benchmark.cpp
@@ -28,7 +28,7 @@
         change(all.back().chosen);
     };
     add("order of arrival", [](policy_options& without) { without.by_urgency = false; });
-    add("pace ignored", [](policy_options& without) { without.follow_pace = false; });
+    add("pace ignored", [](policy_options& without) { without.follow_slowdown = false; });
     add("fixed limit", [](policy_options& without) { without.adaptive_limit = false; });
     add("all rejections lower the limit",
         [](policy_options& without) { without.ignore_rejections_with_free_slots = false; });
--- a/unittests/replay/replay_member.cpp
+++ b/unittests/replay/replay_member.cpp
@@ -41,7 +41,7 @@
 
 bool replay_member::refuses(const service_call& call) const
 {
-    return options_.follow_pace && call.movable && pace_.slow(loop_.now());
+    return options_.follow_slowdown && call.movable && pace_.slow(loop_.now());
 }
 
 void replay_member::execute(const service_call& call, call_done done)
@@ -72,7 +72,7 @@
 
 void replay_member::take_decisions()
 {
-    if (options_.follow_pace) {
+    if (options_.follow_slowdown) {
         queue_.set_slowdown(pace_.slow(loop_.now()) ? pace_.factor(loop_.now()) : 1.0);
     }
     while (const auto decision = queue_.next(loop_.now())) {
@@ -208,7 +208,7 @@
     load_report load = queue_.report();
     load.instance = instance();
     load.upstream_registered = true;
-    load.pace = options_.follow_pace ? pace_.factor(loop_.now()) : 1.0;
+    load.pace = options_.follow_slowdown ? pace_.factor(loop_.now()) : 1.0;
     return load;
 }
 
--- a/unittests/replay/replay_member.h
+++ b/unittests/replay/replay_member.h
@@ -19,7 +19,7 @@
     /// Requests are ordered by urgency with guaranteed shares; otherwise by arrival.
     bool by_urgency = true;
     /// Requests wait or are sent to another member while the upstream is slow.
-    bool follow_pace = true;
+    bool follow_slowdown = true;
     /// The limit of running requests adapts to latencies and rejections; otherwise it is the number
     /// of slots.
     bool adaptive_limit = true;
--- a/unittests/replay/replay_test.cpp
+++ b/unittests/replay/replay_test.cpp
@@ -74,7 +74,7 @@
         policy_comparison{"order by urgency", "burst of the most urgent kind", order_by_arrival,
                           default_settings},
         policy_comparison{"pace of the upstream", "noise",
-                          [](policy_options& options) { options.follow_pace = false; },
+                          [](policy_options& options) { options.follow_slowdown = false; },
                           default_settings},
         policy_comparison{"adaptive limit", "slow upstream",
                           [](policy_options& options) { options.adaptive_limit = false; },
