--- a/include/chestnutstand/routing/peer_load.h
+++ b/include/chestnutstand/routing/peer_load.h
@@ -74,7 +74,7 @@
     std::uint16_t in_flight_ = 0;
     std::uint16_t limit_ = 0;
     /// Queue lengths by priority rank.
-    std::array<std::uint16_t, priority_rank_count> queued_{};
+    std::array<std::uint16_t, urgency_index_count> queued_{};
     float latency_ms_ = 0.0F;
     float reported_latency_ms_ = 0.0F;
     float pace_ = 1.0F;
--- a/include/chestnutstand/routing/priority_order.h
+++ b/include/chestnutstand/routing/priority_order.h
@@ -12,7 +12,7 @@
 namespace chestnutstand {
 
 /// Number of priority ranks in the load of a peer; all less urgent classes share the last rank.
-inline constexpr std::size_t priority_rank_count = 8;
+inline constexpr std::size_t urgency_index_count = 8;
 
 /// Priority classes of a service from the most to the least urgent: ordered by configured rank,
 /// then by latency target, then by position in the document.
@@ -42,7 +42,7 @@
     {
         const auto found = std::find(names_.begin(), names_.end(), priority);
         const auto index = static_cast<std::size_t>(found - names_.begin());
-        return std::min(index, priority_rank_count - 1);
+        return std::min(index, urgency_index_count - 1);
     }
 
 private:
