--- a/include/chestnutstand/admission/class_queue.h
+++ b/include/chestnutstand/admission/class_queue.h
@@ -68,7 +68,7 @@
     /// until it is empty and no request has been refused because of the overload for some time.
     bool overloaded(time_point now);
     /// Records a refusal caused by the overload, which prolongs the overloaded state.
-    void note_overload_refusal(time_point now) { last_overload_refusal_ = now; }
+    void note_overload_refusal(time_point now) { last_overload_event_ = now; }
 
     decaying_mean& service_time() { return service_time_; }
     const decaying_mean& service_time() const { return service_time_; }
@@ -107,7 +107,7 @@
     std::set<std::pair<time_point, std::uint64_t>> by_deadline_;
     std::optional<time_point> non_empty_since_;
     bool overloaded_ = false;
-    time_point last_overload_refusal_{};
+    time_point last_overload_event_{};
     decaying_mean service_time_;
     decaying_rate arrivals_;
     decaying_rate dispatches_;
--- a/lib/admission/class_queue.cpp
+++ b/lib/admission/class_queue.cpp
@@ -119,9 +119,9 @@
 {
     if (!overloaded_ && non_empty_since_ && now - *non_empty_since_ >= overload_interval()) {
         overloaded_ = true;
-        last_overload_refusal_ = now;
+        last_overload_event_ = now;
     }
-    if (overloaded_ && empty() && now - last_overload_refusal_ >= overload_interval()) {
+    if (overloaded_ && empty() && now - last_overload_event_ >= overload_interval()) {
         overloaded_ = false;
     }
     return overloaded_;
