--- a/include/chestnutstand/admission/class_queue.h
+++ b/include/chestnutstand/admission/class_queue.h
@@ -68,7 +68,7 @@
     /// until it is empty and no request has been refused because of the overload for some time.
     bool overloaded(time_point now);
     /// Records a refusal caused by the overload, which prolongs the overloaded state.
-    void note_overload_refusal(time_point now) { last_overload_event_ = now; }
+    void prolong_overload(time_point now) { last_overload_event_ = now; }
 
     decaying_mean& service_time() { return service_time_; }
     const decaying_mean& service_time() const { return service_time_; }
--- a/lib/admission/admission_queue.cpp
+++ b/lib/admission/admission_queue.cpp
@@ -107,7 +107,7 @@
     // backlogged and receives its guaranteed share.
     if (!queue.empty() && queue.overloaded(now) &&
         wait > queue.target_slack(now) * overloaded_wait_slack_fraction) {
-        queue.note_overload_refusal(now);
+        queue.prolong_overload(now);
         return reason_code::queue_full;
     }
     return reason_code::none;
--- a/lib/admission/class_queue.cpp
+++ b/lib/admission/class_queue.cpp
@@ -76,7 +76,7 @@
     }
     move_late_requests(now);
     if (!late_.empty() && overloaded(now)) {
-        note_overload_refusal(now);
+        prolong_overload(now);
         return refused_request{extract(late_.front().id), reason_code::queue_timeout};
     }
     return std::nullopt;
