--- a/include/chestnutstand/routing/upstream_selector.h
+++ b/include/chestnutstand/routing/upstream_selector.h
@@ -106,7 +106,7 @@
 
     service_state* find_service(const std::string& service);
     std::shared_ptr<peer> unresponsive_member(const service_state& state, time_point now) const;
-    std::shared_ptr<peer> member_with_stale_report(const service_state& state, time_point now);
+    std::shared_ptr<peer> random_member_if_stale(const service_state& state, time_point now);
     void configure(service_state& state, const service_config& config) const;
     std::shared_ptr<peer> choose_member(service_state& state, std::string_view priority,
                                         const std::vector<std::uint64_t>& excluded,
--- a/lib/routing/upstream_selector.cpp
+++ b/lib/routing/upstream_selector.cpp
@@ -363,8 +363,8 @@
     return nullptr;
 }
 
-std::shared_ptr<peer> upstream_selector::member_with_stale_report(const service_state& state,
-                                                                  time_point now)
+std::shared_ptr<peer> upstream_selector::random_member_if_stale(const service_state& state,
+                                                                time_point now)
 {
     const peer_list& members = state.peers.all();
     const std::size_t index =
@@ -388,7 +388,7 @@
     const time_point now = options_.now();
     std::shared_ptr<peer> target = unresponsive_member(*state, now);
     if (!target) {
-        target = member_with_stale_report(*state, now);
+        target = random_member_if_stale(*state, now);
     }
     if (!target || !probe_rate_limit_.try_take(now)) {
         return nullptr;
