--- a/benchmarks/replay_benchmark.cpp
+++ b/benchmarks/replay_benchmark.cpp
@@ -17,7 +17,7 @@
 
 struct variant {
     std::string name;
-    policies chosen;
+    policy_options chosen;
 };
 
 std::vector<variant> variants()
@@ -27,20 +27,21 @@
         all.push_back({std::move(name), {}});
         change(all.back().chosen);
     };
-    add("order of arrival", [](policies& without) { without.by_urgency = false; });
-    add("pace ignored", [](policies& without) { without.follow_pace = false; });
-    add("fixed limit", [](policies& without) { without.adaptive_limit = false; });
+    add("order of arrival", [](policy_options& without) { without.by_urgency = false; });
+    add("pace ignored", [](policy_options& without) { without.follow_pace = false; });
+    add("fixed limit", [](policy_options& without) { without.adaptive_limit = false; });
     add("all rejections lower the limit",
-        [](policies& without) { without.spare_free_slots = false; });
-    add("return after 1 s", [](policies& without) { without.return_in_target = false; });
-    add("abandoned requests run", [](policies& without) { without.cancel_abandoned = false; });
-    add("random placement", [](policies& without) { without.balancing = "random"; });
+        [](policy_options& without) { without.ignore_rejections_with_free_slots = false; });
+    add("return after 1 s", [](policy_options& without) { without.retry_within_target = false; });
+    add("abandoned requests run",
+        [](policy_options& without) { without.cancel_abandoned = false; });
+    add("random placement", [](policy_options& without) { without.balancing = "random"; });
     return all;
 }
 
 void print_row(const pattern& load, const variant& played, std::uint64_t seeds)
 {
-    const world described = refund_desk();
+    const replay_settings described = refund_desk();
     std::vector<kind_result> sums(described.kinds.size());
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         const auto results = model{described, played.chosen, seed}.play(load);
@@ -51,7 +52,7 @@
             sums[i].refused_at_once += results[i].refused_at_once;
             sums[i].refused_after_waiting += results[i].refused_after_waiting;
             sums[i].failed += results[i].failed;
-            sums[i].held_ms += results[i].held_ms;
+            sums[i].wasted_wait_ms += results[i].wasted_wait_ms;
         }
     }
     for (std::size_t i = 0; i < sums.size(); ++i) {
@@ -63,7 +64,7 @@
                     static_cast<unsigned long long>(sums[i].offered), percent(sums[i].in_target),
                     percent(sums[i].late), percent(sums[i].refused_at_once),
                     percent(sums[i].refused_after_waiting), percent(sums[i].failed),
-                    sums[i].held_ms / 1'000.0);
+                    sums[i].wasted_wait_ms / 1'000.0);
     }
     std::fflush(stdout);
 }
--- a/lib/admission/admission_queue.cpp
+++ b/lib/admission/admission_queue.cpp
@@ -12,16 +12,16 @@
 constexpr double service_time_samples = 32.0;
 constexpr milliseconds service_time_half_life{500};
 constexpr double min_service_time_ms = 0.01;
-// Half of the slack is left for the variation of the estimate and of the service time.
-constexpr double overloaded_wait_of_slack = 0.5;
-// Rounding of sums of shares must not delay an earned dispatch.
-constexpr double earned_dispatch = 1.0 - 1e-9;
-// A class without requests for this long is not expected back within the next moments.
-constexpr milliseconds headroom_memory{10'000};
-// Covers the time between two looks at the queue.
-constexpr milliseconds slow_start_margin{40};
-// Waiting a tenth of the target for a free slot is not worth an idle slot.
-constexpr double negligible_wait_of_target = 0.1;
+// The other half of the slack allows for the variation of the estimate and of the service time.
+constexpr double overloaded_wait_slack_fraction = 0.5;
+// Less than 1, so that rounding errors in the sum of shares do not delay an earned dispatch.
+constexpr double earned_dispatch_credit = 1.0 - 1e-9;
+// A class without requests for this long is not expected to send one soon and gets no headroom.
+constexpr milliseconds recent_demand_window{10'000};
+// Covers the interval between two calls of next().
+constexpr milliseconds deadline_start_margin{40};
+// A slot is not kept idle to avoid a wait of at most a tenth of the latency target.
+constexpr double negligible_wait_target_fraction = 0.1;
 
 double sum_of_weights(const service_config& service)
 {
@@ -54,7 +54,7 @@
     return std::nullopt;
 }
 
-std::optional<std::size_t> admission_queue::find_substitute(std::string_view prefix) const
+std::optional<std::size_t> admission_queue::find_fallback_priority(std::string_view prefix) const
 {
     for (std::size_t i = 0; i < classes_.size(); ++i) {
         if (classes_[i].config().name.rfind(prefix, 0) == 0) {
@@ -67,8 +67,8 @@
 offer_result admission_queue::offer(std::uint64_t id, std::size_t priority, time_point deadline,
                                     time_point now)
 {
-    if (const auto why = refusal_of(id, priority, deadline, now); why != reason::none) {
-        return {offer_state::refused, why};
+    if (const auto reason = refusal_of(id, priority, deadline, now); reason != reason_code::none) {
+        return {offer_state::refused, reason};
     }
     auto& queue = classes_[priority];
     queue.arrivals().add(now);
@@ -77,40 +77,40 @@
     queued_[id] = priority;
     if (queue.size() == 1 && pick(now) == priority) {
         start_next_of(priority, now);
-        return {offer_state::admitted, reason::none};
+        return {offer_state::admitted, reason_code::none};
     }
-    return {offer_state::queued, reason::none};
+    return {offer_state::queued, reason_code::none};
 }
 
-reason admission_queue::refusal_of(std::uint64_t id, std::size_t priority, time_point deadline,
-                                   time_point now)
+reason_code admission_queue::refusal_of(std::uint64_t id, std::size_t priority, time_point deadline,
+                                        time_point now)
 {
     if (draining_) {
-        return reason::draining;
+        return reason_code::draining;
     }
     if (priority >= classes_.size()) {
-        return reason::unknown_priority;
+        return reason_code::unknown_priority;
     }
     auto& queue = classes_[priority];
     if (queued_.contains(id) || running_.contains(id)) {
-        return reason::internal;
+        return reason_code::internal;
     }
     if (queue.full()) {
-        return reason::queue_full;
+        return reason_code::queue_full;
     }
     const auto wait = expected_wait(priority, now);
-    if (now + wait + milliseconds{queue.service_time().optimistic(now)} >= deadline) {
+    if (now + wait + milliseconds{queue.service_time().optimistic_mean(now)} >= deadline) {
         queue.refused_while_empty = queue.empty();
-        return reason::deadline_unmeetable;
+        return reason_code::deadline_unmeetable;
     }
-    // An empty queue takes one request whatever the estimate, so that the class stays backlogged
-    // and gets its share.
+    // An empty queue accepts one request regardless of the estimate, so that the class stays
+    // backlogged and receives its guaranteed share.
     if (!queue.empty() && queue.overloaded(now) &&
-        wait > queue.target_slack(now) * overloaded_wait_of_slack) {
+        wait > queue.target_slack(now) * overloaded_wait_slack_fraction) {
         queue.note_overload_refusal(now);
-        return reason::queue_full;
+        return reason_code::queue_full;
     }
-    return reason::none;
+    return reason_code::none;
 }
 
 std::optional<queue_decision> admission_queue::next(time_point now)
@@ -129,12 +129,12 @@
     if (!removed_classes_.empty()) {
         const auto request = removed_classes_.front();
         removed_classes_.pop_front();
-        return queue_decision{request.id, reason::unknown_priority, now - request.arrived};
+        return queue_decision{request.id, reason_code::unknown_priority, now - request.arrived};
     }
     for (auto& queue : classes_) {
         if (const auto expired = queue.expire(now)) {
             queued_.erase(expired->request.id);
-            return queue_decision{expired->request.id, expired->why,
+            return queue_decision{expired->request.id, expired->reason,
                                   now - expired->request.arrived};
         }
     }
@@ -151,7 +151,7 @@
     }
     for (const auto priority : by_urgency_) {
         if (!classes_[priority].empty() && has_room(priority, now) &&
-            worth_starting(classes_[priority], now)) {
+            is_worth_starting(classes_[priority], now)) {
             return priority;
         }
     }
@@ -163,8 +163,8 @@
     std::optional<std::size_t> best;
     for (const auto priority : by_urgency_) {
         const auto& queue = classes_[priority];
-        if (!queue.empty() && queue.credit >= earned_dispatch && worth_starting(queue, now) &&
-            (!best || queue.credit > classes_[*best].credit)) {
+        if (!queue.empty() && queue.credit >= earned_dispatch_credit &&
+            is_worth_starting(queue, now) && (!best || queue.credit > classes_[*best].credit)) {
             best = priority;
         }
     }
@@ -174,16 +174,16 @@
 queue_decision admission_queue::start_next_of(std::size_t priority, time_point now)
 {
     auto& queue = classes_[priority];
-    settle_credit(priority);
+    update_credits(priority);
     const auto request = queue.pop(now);
     queue.dispatches().add(now);
     ++queue.running;
     queued_.erase(request.id);
     running_[request.id] = {priority, now};
-    return {request.id, reason::none, now - request.arrived};
+    return {request.id, reason_code::none, now - request.arrived};
 }
 
-void admission_queue::settle_credit(std::size_t dispatched)
+void admission_queue::update_credits(std::size_t dispatched)
 {
     for (auto& queue : classes_) {
         if (!queue.empty()) {
@@ -203,45 +203,46 @@
     return in_flight() + headroom(priority, now) < limit_.value();
 }
 
-/// A request that starts while the upstream is slow takes several times as long to its end, so that
-/// waiting costs it less as long as there is time.
-bool admission_queue::worth_starting(const class_queue& queue, time_point now) const
+/// A request that starts while the upstream is slow takes several times as long until its end, so
+/// waiting for the slow phase to end is faster if the deadline permits it.
+bool admission_queue::is_worth_starting(const class_queue& queue, time_point now) const
 {
-    if (pace_ <= 1.0) {
+    if (slowdown_ <= 1.0) {
         return true;
     }
-    const milliseconds service{queue.service_time().optimistic(now) * pace_};
+    const milliseconds service{queue.service_time().optimistic_mean(now) * slowdown_};
     const auto& first = queue.front();
     const bool in_time = now - first.arrived + service <= queue.config().latency_target;
-    const bool last_chance = now + service + slow_start_margin >= first.deadline;
-    return in_time || last_chance;
+    const bool deadline_near = now + service + deadline_start_margin >= first.deadline;
+    return in_time || deadline_near;
 }
 
 std::uint32_t admission_queue::headroom(std::size_t priority, time_point now) const
 {
     const auto& queue = classes_[priority];
     const double release_interval_ms =
-        queue.service_time().blended(queue.config().latency_target.count(), now) / limit_.value();
+        queue.service_time().blended_mean(queue.config().latency_target.count(), now) /
+        limit_.value();
     double expected = 0.0;
     std::uint32_t running = 0;
-    bool wanted = false;
-    // Only classes count for which the wait for a slot of this class would matter.
-    for (const auto urgent : by_urgency_) {
-        if (urgent == priority) {
+    bool has_recent_demand = false;
+    // Counts the more urgent classes for which waiting for a slot of this class would matter.
+    for (const auto more_urgent : by_urgency_) {
+        if (more_urgent == priority) {
             break;
         }
-        const auto& other = classes_[urgent];
+        const auto& other = classes_[more_urgent];
         const double negligible_ms =
-            other.config().latency_target.count() * negligible_wait_of_target;
-        if (!other.last_offer || now - *other.last_offer > headroom_memory ||
+            other.config().latency_target.count() * negligible_wait_target_fraction;
+        if (!other.last_offer || now - *other.last_offer > recent_demand_window ||
             release_interval_ms <= negligible_ms) {
             continue;
         }
-        wanted = true;
+        has_recent_demand = true;
         running += other.running;
-        expected += other.arrivals().per_ms(now) * other.service_time().optimistic(now);
+        expected += other.arrivals().per_ms(now) * other.service_time().optimistic_mean(now);
     }
-    if (!wanted) {
+    if (!has_recent_demand) {
         return 0;
     }
     const double needed = std::max(1.0, std::ceil(expected + std::sqrt(expected)));
@@ -296,23 +297,24 @@
 milliseconds admission_queue::expected_wait(std::size_t priority, time_point now)
 {
     auto& queue = classes_[priority];
-    const auto own = queue.ahead_of_new(now);
+    const auto ahead_in_class = queue.requests_ahead(now);
     const double total_per_ms = dispatches_per_ms(priority, now);
-    const auto service_ms = [now](const class_queue& of) {
-        return of.service_time().blended(of.config().latency_target.count(), now);
+    const auto service_ms = [now](const class_queue& measured) {
+        return measured.service_time().blended_mean(measured.config().latency_target.count(), now);
     };
     const std::uint32_t idle_slots = headroom(priority, now);
-    double work_ahead_ms = static_cast<double>(own + 1) * service_ms(queue);
+    double work_ahead_ms = static_cast<double>(ahead_in_class + 1) * service_ms(queue);
     double slots_left = static_cast<double>(limit_.value()) - idle_slots;
     bool is_more_urgent = true;
-    bool first_in_line = own == 0;
+    bool first_in_line = ahead_in_class == 0;
     for (const auto index : by_urgency_) {
         const auto& other = classes_[index];
         if (index == priority) {
             is_more_urgent = false;
         }
         else if (is_more_urgent) {
-            // More urgent requests that arrive meanwhile go first, as many as recently.
+            // More urgent requests that arrive during the wait are served first; they are assumed
+            // to arrive at the recent dispatch rate of their class.
             first_in_line = first_in_line && other.empty();
             work_ahead_ms += static_cast<double>(other.size()) * service_ms(other);
             slots_left -= other.dispatches().per_ms(now) * service_ms(other);
@@ -324,10 +326,10 @@
     if (first_in_line && in_flight() + idle_slots < limit_.value()) {
         return milliseconds{0};
     }
-    // Whatever the other classes take, the guaranteed share of the class remains.
+    // The class receives its guaranteed share regardless of the load of the other classes.
     const double shared_ms =
         slots_left > 0.0 ? work_ahead_ms / slots_left : std::numeric_limits<double>::infinity();
-    const double unearned = std::max(0.0, static_cast<double>(own + 1) - queue.credit);
+    const double unearned = std::max(0.0, static_cast<double>(ahead_in_class + 1) - queue.credit);
     const double guaranteed_per_ms = total_per_ms * queue.guaranteed_share();
     const double guaranteed_ms = guaranteed_per_ms > 0.0
                                      ? unearned / guaranteed_per_ms + 1.0 / total_per_ms
@@ -335,13 +337,14 @@
     return milliseconds{std::min(shared_ms, guaranteed_ms)};
 }
 
-/// Rate at which the upstream takes requests while it is fully used. Before anything has been
-/// measured, the latency target of the class stands in for the service time: an empty measurement
-/// must neither admit without bound nor refuse all.
+/// Rate at which requests start while all slots are in use. Until a service time has been measured,
+/// the latency target of the class is used as its estimate, so that requests are neither all
+/// admitted nor all refused.
 double admission_queue::dispatches_per_ms(std::size_t priority, time_point now) const
 {
     const double prior_ms = classes_[priority].config().latency_target.count();
-    return limit_.value() / std::max(min_service_time_ms, service_time_.blended(prior_ms, now));
+    return limit_.value() /
+           std::max(min_service_time_ms, service_time_.blended_mean(prior_ms, now));
 }
 
 void admission_queue::set_classes(const service_config& service)
@@ -384,7 +387,7 @@
         changed = changed || new_index[i] != i;
     }
     if (changed) {
-        limit_.forget_baselines();
+        limit_.reset_baselines();
     }
     sort_by_urgency();
 }
--- a/lib/node/components/node_endpoint_component.cpp
+++ b/lib/node/components/node_endpoint_component.cpp
@@ -13,33 +13,34 @@
 
 constexpr milliseconds stop_limit{1'000};
 
-/// Hands calls from other nodes to the components of this node.
+/// Dispatches requests from other nodes to the components of this node.
 class local_node_handler final : public node_handler {
 public:
     explicit local_node_handler(kernel& node) : node_{node}, executor_{node.get<executor>()} {}
 
-    void execute(std::uint64_t target_instance, call what, call_done done) override
+    void execute(std::uint64_t target_instance, service_call call, call_done done) override
     {
-        executor_.execute(target_instance, std::move(what), done);
+        executor_.execute(target_instance, std::move(call), done);
     }
 
-    void forward(std::uint64_t target_instance, call what, bool query_only, call_done done) override
+    void forward(std::uint64_t target_instance, service_call call, bool query_only,
+                 call_done done) override
     {
         auto* keys = node_.find<key_router>();
         if (keys == nullptr || target_instance != node_.instance()) {
-            done(unknown_outcome(reason::owner_unreachable));
+            done(unknown_outcome(reason_code::owner_unreachable));
             return;
         }
-        keys->receive(what, query_only, done);
+        keys->receive(call, query_only, done);
     }
 
     absl::StatusOr<settle_result> settle(std::uint64_t target_instance,
                                          const std::string& key) override
     {
         if (target_instance != node_.instance()) {
-            return settle_result{settle_state::wrong_instance, {}, reason::wrong_instance, {}};
+            return settle_result{settle_state::wrong_instance, {}, reason_code::wrong_instance, {}};
         }
-        if (const auto attempt = attempt_of_key(key); !attempt.empty()) {
+        if (const auto attempt = request_id_of_attempt_key(key); !attempt.empty()) {
             return executor_.settle_attempt(std::string{attempt});
         }
         return node_.get<executor_keys>().settle(key, ms_clock::now());
@@ -54,16 +55,18 @@
         });
     }
 
-    void sync_members(std::vector<std::string> theirs, peer_client::members_done done) override
+    void sync_members(std::vector<std::string> remote_members,
+                      peer_client::members_done done) override
     {
-        node_.control().post([this, theirs = std::move(theirs), done = std::move(done)]() mutable {
-            auto* members = node_.find<membership>();
-            if (members == nullptr) {
-                done(absl::UnavailableError("membership has not started"));
-                return;
-            }
-            members->handle_sync(theirs, done);
-        });
+        node_.control().post(
+            [this, remote_members = std::move(remote_members), done = std::move(done)]() mutable {
+                auto* members = node_.find<membership>();
+                if (members == nullptr) {
+                    done(absl::UnavailableError("membership has not started"));
+                    return;
+                }
+                members->handle_sync(remote_members, done);
+            });
     }
 
 private:
@@ -71,7 +74,7 @@
     executor& executor_;
 };
 
-/// Serves other nodes.
+/// Runs the server for requests from other nodes.
 class node_endpoint_component final : public component {
 public:
     std::vector<std::string_view> dependencies() const override { return {"config", "executor"}; }
@@ -79,10 +82,10 @@
     absl::Status start(kernel& node) override
     {
         handler_ = std::make_unique<local_node_handler>(node);
-        const settings& own = node.config();
-        server_ = own.carrier == node_carrier::http
-                      ? make_http_node_server(own.address, own.node_port, *handler_)
-                      : std::make_unique<node_server>(own.address, own.node_port, *handler_);
+        const settings& config = node.config();
+        server_ = config.carrier == node_carrier::http
+                      ? make_http_node_server(config.address, config.node_port, *handler_)
+                      : std::make_unique<node_server>(config.address, config.node_port, *handler_);
         absl::Status status = server_->start();
         if (status.ok()) {
             node.ports().node = server_->port();
--- a/unittests/node/dispatcher_fixture.h
+++ b/unittests/node/dispatcher_fixture.h
@@ -15,8 +15,9 @@
 
 class mock_peer_client : public peer_client {
 public:
-    MOCK_METHOD(void, execute, (const node_reference&, const call&, call_done), (override));
-    MOCK_METHOD(void, forward, (const node_reference&, const call&, bool, call_done), (override));
+    MOCK_METHOD(void, execute, (const node_reference&, const service_call&, call_done), (override));
+    MOCK_METHOD(void, forward, (const node_reference&, const service_call&, bool, call_done),
+                (override));
     MOCK_METHOD(void, settle,
                 (const node_reference&, const std::string&, milliseconds, settle_done), (override));
     MOCK_METHOD(void, probe, (const node_reference&, milliseconds, probe_done), (override));
@@ -30,8 +31,8 @@
 inline call_result answer(int status)
 {
     call_result result;
-    result.outcome = outcome::completed;
-    result.why = reason::none;
+    result.outcome = call_outcome::completed;
+    result.reason = reason_code::none;
     result.response.status = status;
     return result;
 }
@@ -45,9 +46,9 @@
         service.name = "ledger";
         service.priorities = {{"lookup", milliseconds{50}, 1.0, true},
                               {"payment", milliseconds{500}, 1.0, false}};
-        auto declared = std::make_shared<document>();
-        declared->services.push_back(service);
-        configuration_.store(std::move(declared));
+        auto published = std::make_shared<document>();
+        published->services.push_back(service);
+        configuration_.store(std::move(published));
         dispatcher_options options;
         options.self_instance = 99;
         options.now = [this] { return now_; };
@@ -72,27 +73,29 @@
 
     call_result run(const std::string& priority = "lookup")
     {
-        call what;
-        what.service = "ledger";
-        what.priority = priority;
-        what.deadline = now_ + milliseconds{1000};
-        what.retry_budget = 3;
-        what.idempotency_key = priority == "payment" ? "key" : "";
+        service_call call;
+        call.service = "ledger";
+        call.priority = priority;
+        call.deadline = now_ + milliseconds{1000};
+        call.retry_budget = 3;
+        call.idempotency_key = priority == "payment" ? "key" : "";
         std::optional<call_result> result;
-        dispatcher_->dispatch(what, [&result](call_result given) { result = std::move(given); });
+        dispatcher_->dispatch(call,
+                              [&result](call_result reported) { result = std::move(reported); });
         EXPECT_TRUE(result.has_value());
-        return result.value_or(unknown_outcome(reason::internal));
+        return result.value_or(unknown_outcome(reason_code::internal));
     }
 
-    /// Answers every attempt by its number, counted from zero over all calls.
-    void answer_with(std::function<call_result(int)> answer_for)
+    /// Completes every attempt with the result for its index, counted from zero over all
+    /// calls.
+    void answer_with(std::function<call_result(int)> result_of)
     {
         ON_CALL(peers_, execute(testing::_, testing::_, testing::_))
-            .WillByDefault([this, answer_for = std::move(answer_for)](const node_reference& target,
-                                                                      const call& what,
-                                                                      const call_done& done) {
-                attempts_.push_back({target.instance, what.retry_budget, what.request_id});
-                done(answer_for(static_cast<int>(attempts_.size()) - 1));
+            .WillByDefault([this, result_of = std::move(result_of)](const node_reference& target,
+                                                                    const service_call& call,
+                                                                    const call_done& done) {
+                attempts_.push_back({target.instance, call.retry_budget, call.request_id});
+                done(result_of(static_cast<int>(attempts_.size()) - 1));
             });
     }
 
--- a/unittests/node/routed_call_test.cpp
+++ b/unittests/node/routed_call_test.cpp
@@ -14,14 +14,14 @@
 
 document make_document()
 {
-    const auto read = parse_record(R"({"version": 1, "services": [{"name": "ledger"}], "routes": [
+    const auto parsed = parse_record(R"({"version": 1, "services": [{"name": "ledger"}], "routes": [
         {"name": "view", "host": "shop.example", "path_prefix": "/view/", "service": "ledger",
          "kind": "idempotent", "timeout_ms": 800, "attempts": 3, "rank": 1},
         {"name": "pay", "host": "shop.example", "path_prefix": "/pay/", "service": "ledger",
          "timeout_ms": 1000}]})",
-                                   "record");
-    EXPECT_TRUE(read.ok()) << read.status();
-    return *read;
+                                     "record");
+    EXPECT_TRUE(parsed.ok()) << parsed.status();
+    return *parsed;
 }
 
 class routed_call : public testing::Test {
@@ -39,34 +39,34 @@
         names_.retry_budget.clear();
     }
 
-    std::variant<call, refusal> parse(const std::string& target,
-                                      std::vector<http_header> headers = {})
+    std::variant<service_call, refusal> parse(const std::string& target,
+                                              std::vector<http_header> headers = {})
     {
         http_request request{"POST", target, std::move(headers), "body"};
         request.headers.push_back({"Host", "shop.example"});
         return parse_routed_call(request, &document_, names_, 0.0, now_);
     }
 
-    call parsed(const std::string& target, std::vector<http_header> headers = {})
+    service_call parsed(const std::string& target, std::vector<http_header> headers = {})
     {
         auto result = parse(target, std::move(headers));
-        EXPECT_TRUE(std::holds_alternative<call>(result));
-        return std::get<call>(std::move(result));
+        EXPECT_TRUE(std::holds_alternative<service_call>(result));
+        return std::get<service_call>(std::move(result));
     }
 
-    reason refused(const std::string& target, std::vector<http_header> headers = {})
+    reason_code refused(const std::string& target, std::vector<http_header> headers = {})
     {
         const auto result = parse(target, std::move(headers));
-        const auto* why = std::get_if<refusal>(&result);
-        return why == nullptr ? reason::none : why->why;
+        const auto* found = std::get_if<refusal>(&result);
+        return found == nullptr ? reason_code::none : found->reason;
     }
 
-    call_result judge(const call& what, int status, std::vector<http_header> headers)
+    call_result judge(const service_call& call, int status, std::vector<http_header> headers)
     {
-        headers.push_back({"request-id", what.request_id});
+        headers.push_back({"request-id", call.request_id});
         http_result result;
         result.response = {status, std::move(headers), "answer"};
-        return judge_upstream_response(what, std::move(result), names_);
+        return classify_upstream_response(call, std::move(result), names_);
     }
 
     document document_ = make_document();
@@ -74,11 +74,11 @@
     time_point now_ = ms_clock::now();
 };
 
-// Guards against a call that may repeat although its route forbids it, and against a time limit of
-// the route that the caller's own deadline hides.
-TEST_F(routed_call, takes_its_terms_from_the_route)
+// Guards against repeating a call although its route forbids it, and against a longer deadline of
+// the caller that overrides the timeout of the route.
+TEST_F(routed_call, takes_repeatability_and_limits_from_the_route)
 {
-    const call view = parsed("/view/1?q", {{"Request-Id", "r1"}, {"Deadline-Ms", "2500"}});
+    const service_call view = parsed("/view/1?q", {{"Request-Id", "r1"}, {"Deadline-Ms", "2500"}});
     EXPECT_EQ(view.service, "ledger");
     EXPECT_EQ(view.priority, class_of(document_.routes.front()));
     EXPECT_EQ(view.repeat, repeatability::repeatable);
@@ -86,25 +86,25 @@
     EXPECT_EQ(view.request_id, "r1");
     EXPECT_EQ(view.deadline, now_ + milliseconds{800});
     EXPECT_EQ(view.request.target, "/view/1?q");
-    const call pay = parsed("/pay/", {{"Deadline-Ms", "300"}});
+    const service_call pay = parsed("/pay/", {{"Deadline-Ms", "300"}});
     EXPECT_EQ(pay.repeat, repeatability::at_most_once);
     EXPECT_EQ(pay.deadline, now_ + milliseconds{300});
-    EXPECT_EQ(refused("/other/"), reason::unknown_route);
-    EXPECT_EQ(refused("/pay/", {{"Deadline-Ms", "soon"}}), reason::malformed_deadline);
+    EXPECT_EQ(refused("/other/"), reason_code::unknown_route);
+    EXPECT_EQ(refused("/pay/", {{"Deadline-Ms", "soon"}}), reason_code::malformed_deadline);
 }
 
-// Guards against headers of a caller that the upstream does not get, or gets although only the
-// system sets them.
-TEST_F(routed_call, forwards_all_but_the_systems_own_headers)
+// Guards against dropping headers of the caller, and against forwarding headers of the caller that
+// only the system may set.
+TEST_F(routed_call, forwards_all_headers_except_those_the_system_sets)
 {
-    const call what = parsed("/pay/1", {{"Request-Id", "r1"},
-                                        {"Idempotency-Key", "theirs"},
-                                        {"Caller-Service", "forged"},
-                                        {"Expect-Instance", "forged"},
-                                        {"Connection", "X-Hop"},
-                                        {"X-Hop", "1"},
-                                        {"X-Trace", "t"}});
-    const http_request sent = make_upstream_request(what, names_, "i-1");
+    const service_call call = parsed("/pay/1", {{"Request-Id", "r1"},
+                                                {"Idempotency-Key", "theirs"},
+                                                {"Caller-Service", "forged"},
+                                                {"Expect-Instance", "forged"},
+                                                {"Connection", "X-Hop"},
+                                                {"X-Hop", "1"},
+                                                {"X-Trace", "t"}});
+    const http_request sent = make_upstream_request(call, names_, "i-1");
     EXPECT_EQ(find_header(sent.headers, "host"), "shop.example");
     EXPECT_EQ(find_header(sent.headers, "Idempotency-Key"), "theirs");
     EXPECT_EQ(find_header(sent.headers, "X-Trace"), "t");
@@ -115,47 +115,52 @@
     EXPECT_EQ(sent.body, "body");
 }
 
-// Guards against a refusal of the upstream that is taken for a run, and against an answer to
-// another request that is delivered.
-TEST_F(routed_call, tells_refusals_and_foreign_answers_from_runs)
+// Guards against treating a refusal of the upstream as a completed call, and against delivering the
+// response to another request.
+TEST_F(routed_call, detects_refusals_and_responses_to_other_requests)
 {
-    const call what = parsed("/pay/1", {{"Request-Id", "r1"}});
-    EXPECT_EQ(judge(what, 503, {{"Not-Executed", "1"}}).why, reason::upstream_refused);
-    EXPECT_EQ(judge(what, 429, {{"Not-Executed", "1"}}).outcome, outcome::not_run);
-    EXPECT_EQ(judge(what, 421, {}).why, reason::upstream_replaced);
-    EXPECT_EQ(judge(what, 503, {}).outcome, outcome::completed);
-    EXPECT_EQ(judge(what, 500, {}).outcome, outcome::completed);
-    call other = what;
+    const service_call call = parsed("/pay/1", {{"Request-Id", "r1"}});
+    EXPECT_EQ(judge(call, 503, {{"Not-Executed", "1"}}).reason, reason_code::upstream_refused);
+    EXPECT_EQ(judge(call, 429, {{"Not-Executed", "1"}}).outcome, call_outcome::not_run);
+    EXPECT_EQ(judge(call, 421, {}).reason, reason_code::upstream_replaced);
+    EXPECT_EQ(judge(call, 503, {}).outcome, call_outcome::completed);
+    EXPECT_EQ(judge(call, 500, {}).outcome, call_outcome::completed);
+    service_call other = call;
     other.request_id = "r2";
-    http_result crossed;
-    crossed.response = {200, {{"Request-Id", "r1"}}, "answer"};
-    EXPECT_EQ(judge_upstream_response(other, crossed, names_).outcome, outcome::unknown);
+    http_result mismatched;
+    mismatched.response = {200, {{"Request-Id", "r1"}}, "answer"};
+    EXPECT_EQ(classify_upstream_response(other, mismatched, names_).outcome, call_outcome::unknown);
 }
 
-// Guards against answers without a length that are dropped, and against cut ones that pass for
-// whole.
-TEST_F(routed_call, delivers_an_answer_that_ends_with_its_connection)
+// Guards against dropping a response without a length, which ends with its connection, and against
+// delivering a truncated response.
+TEST_F(routed_call, delivers_response_that_ends_with_its_connection)
 {
-    const call what = parsed("/pay/1", {{"Request-Id", "r1"}});
+    const service_call call = parsed("/pay/1", {{"Request-Id", "r1"}});
     http_result ended;
     ended.error = http_error::unframed;
     ended.response = {200, {{"Request-Id", "r1"}}, "answer"};
-    EXPECT_EQ(judge_upstream_response(what, ended, names_).outcome, outcome::completed);
+    EXPECT_EQ(classify_upstream_response(call, ended, names_).outcome, call_outcome::completed);
     ended.error = http_error::truncated;
-    EXPECT_EQ(judge_upstream_response(what, ended, names_).outcome, outcome::unknown);
+    EXPECT_EQ(classify_upstream_response(call, ended, names_).outcome, call_outcome::unknown);
 }
 
-// Guards against a promise that nothing has run while it may have.
-TEST_F(routed_call, promises_only_what_is_known)
+// Guards against status 503, which guarantees that the request has not run, for a request that may
+// have run.
+TEST_F(routed_call, returns_503_only_if_the_call_has_not_run)
 {
-    EXPECT_EQ(make_routed_response(not_run(reason::deadline_exceeded), milliseconds{250}).status,
+    EXPECT_EQ(
+        make_routed_response(not_run(reason_code::deadline_exceeded), milliseconds{250}).status,
+        503);
+    EXPECT_EQ(make_routed_response(not_run(reason_code::queue_full), milliseconds{250}).status,
               503);
-    EXPECT_EQ(make_routed_response(not_run(reason::queue_full), milliseconds{250}).status, 503);
-    EXPECT_EQ(make_routed_response(unknown_outcome(reason::time_limit), milliseconds{250}).status,
-              504);
-    EXPECT_EQ(make_routed_response(unknown_outcome(reason::peer_connection_lost), milliseconds{250})
-                  .status,
-              502);
+    EXPECT_EQ(
+        make_routed_response(unknown_outcome(reason_code::time_limit), milliseconds{250}).status,
+        504);
+    EXPECT_EQ(
+        make_routed_response(unknown_outcome(reason_code::peer_connection_lost), milliseconds{250})
+            .status,
+        502);
 }
 
 } // namespace
