--- a/lib/config/change_replay.cpp
+++ b/lib/config/change_replay.cpp
@@ -94,27 +94,23 @@
     std::uint64_t highest = 0;
     for (const auto& state : checkpoint.sections()) {
         if (!sections.empty() && sections.back().name >= state.section()) {
-            return absl::InvalidArgumentError(
-                "the sections of the checkpoint are not in the order of their names");
+            return absl::InvalidArgumentError("sections are not in the order of their names");
         }
         if (!is_valid_name(state.section()) || state.version() == 0) {
-            return absl::InvalidArgumentError(
-                "a section of the checkpoint has an invalid name or version");
+            return absl::InvalidArgumentError("a section has no valid name or version");
         }
         highest = std::max(highest, state.version());
         sections.push_back(to_section(state));
     }
     if (highest != checkpoint.version() || highest > version_of(checkpoint.covered_offset())) {
-        return absl::InvalidArgumentError(
-            "the versions in the checkpoint do not match its covered offset");
+        return absl::InvalidArgumentError("versions do not match the covered offset");
     }
     std::set<std::string> change_ids;
     std::uint64_t lowest_offset = 0;
     for (const auto& change : checkpoint.recent_changes()) {
         if (change.offset() < lowest_offset || change.offset() > checkpoint.covered_offset() ||
             !change_ids.insert(change.change_id()).second) {
-            return absl::InvalidArgumentError(
-                "the recent changes of the checkpoint are out of order or repeat a change id");
+            return absl::InvalidArgumentError("recent changes are not in order");
         }
         lowest_offset = change.offset() + 1;
     }
@@ -271,8 +267,7 @@
 absl::Status change_replay::check_adoptable(const wire::Checkpoint& checkpoint) const
 {
     if (offset_after(checkpoint.covered_offset()) <= next_offset_) {
-        return absl::FailedPreconditionError(
-            "the checkpoint covers no records beyond those replayed");
+        return absl::FailedPreconditionError("the checkpoint covers no later records");
     }
     if (auto status = check_consistent(checkpoint); !status.ok()) {
         return status;
@@ -285,12 +280,12 @@
         const auto found = states.find(name);
         if (found == states.end() || found->second->version() < current.version) {
             return absl::InvalidArgumentError(
-                str_cat("the checkpoint lacks section ", name, " or has an older version of it"));
+                str_cat("the checkpoint has an older section ", name));
         }
         if (found->second->version() == current.version &&
             found->second->content() != current.content) {
-            return absl::InvalidArgumentError(str_cat(
-                "the checkpoint has different content of section ", name, " for the same version"));
+            return absl::InvalidArgumentError(
+                str_cat("the checkpoint has another content of section ", name));
         }
     }
     return absl::OkStatus();
--- a/lib/config/http_log_client.cpp
+++ b/lib/config/http_log_client.cpp
@@ -23,9 +23,9 @@
     case http_error::connect_failed:
         return absl::UnavailableError("no connection to the log service");
     case http_error::timed_out:
-        return absl::DeadlineExceededError("the request to the log service timed out");
+        return absl::DeadlineExceededError("the log service did not answer in time");
     case http_error::too_large:
-        return absl::ResourceExhaustedError("the response of the log service is too large");
+        return absl::ResourceExhaustedError("the answer of the log service is too large");
     case http_error::connection_lost:
     case http_error::truncated:
     case http_error::unframed:
@@ -35,7 +35,7 @@
     const int status = result.response.status;
     return status / 100 == 2
                ? absl::OkStatus()
-               : absl::UnknownError(str_cat("the log service responded with status ", status));
+               : absl::UnknownError(str_cat("the log service answered status ", status));
 }
 
 absl::StatusOr<json> to_json(const http_result& result)
@@ -58,7 +58,7 @@
         return value.status();
     }
     if (!is_offset(*value, "offset")) {
-        return absl::UnknownError("the response of the log service to an append has no offset");
+        return absl::UnknownError("the log service answered without an offset");
     }
     return (*value)["offset"].get<std::uint64_t>();
 }
@@ -70,7 +70,7 @@
         is_offset(value, "offset") && value.contains("payload") && value["payload"].is_string() &&
         absl::Base64Unescape(value["payload"].get_ref<const std::string&>(), &record.payload);
     if (!valid) {
-        return absl::UnknownError("the response of the log service has an invalid record");
+        return absl::UnknownError("the log service answered with an invalid record");
     }
     record.offset = value["offset"].get<std::uint64_t>();
     if (value.contains("age_ms") && value["age_ms"].is_number()) {
@@ -87,7 +87,7 @@
     }
     if (!is_offset(*value, "first") || !is_offset(*value, "next") || !value->contains("records") ||
         !(*value)["records"].is_array()) {
-        return absl::UnknownError("the response of the log service to a read is not a valid page");
+        return absl::UnknownError("the log service answered with an invalid page");
     }
     log_page page;
     page.first = (*value)["first"].get<std::uint64_t>();
--- a/lib/config/log_tail.cpp
+++ b/lib/config/log_tail.cpp
@@ -126,7 +126,7 @@
         search_->records.emplace_back().ParseFromString(read.payload);
     }
     if (page->records.empty()) {
-        on_error(absl::UnknownError("records expired during the search for a checkpoint"));
+        on_error(absl::UnknownError("records expired while they were read"));
         return;
     }
     read_search();
--- a/lib/keys/idempotency_key.cpp
+++ b/lib/keys/idempotency_key.cpp
@@ -107,7 +107,7 @@
         return malformed("not canonical web-safe base64 without padding");
     }
     if (bytes.size() <= mac_size) {
-        return malformed("no content before the authentication code");
+        return malformed("too short");
     }
     const std::string_view content_bytes{bytes.data(), bytes.size() - mac_size};
     const key_mac mac = compute_mac(content_bytes, secret);
@@ -117,7 +117,7 @@
     wire::KeyContent content;
     if (!content.ParseFromArray(content_bytes.data(), static_cast<int>(content_bytes.size())) ||
         !is_valid(content)) {
-        return malformed("content does not parse, or a field is missing or out of range");
+        return malformed("invalid content");
     }
     idempotency_key key{from_wire(content.owner()),
                         {},
